--- a/src/caperridge/decisions/quarantine.py
+++ b/src/caperridge/decisions/quarantine.py
@@ -10,13 +10,13 @@
 
 from collections.abc import Iterable
 
-from caperridge.decisions.suspects import End, Hold, LostRun, Suspect, pause_s
+from caperridge.decisions.suspects import Crash, Hold, LostRun, Suspect, trial_delay_s
 
 # All instances tell of one end within some milliseconds, also while it is judged who
 # of two that were at the same ends is to blame.
 SETTLE_S = 0.05
 # Ends that are older say nothing of today's targets.
-FORGET_S = 900.0
+RETENTION_S = 900.0
 # Requests that are remembered at most, some 0.5 KB each.
 MAX_SUSPECTS = 1000
 
@@ -33,7 +33,7 @@
         # Of the ends that are not judged yet.
         self._newest_at: float | None = None
 
-    def ended(
+    def record_crash(
         self, target: str, runs: Iterable[LostRun], at: float, reported_by: str
     ) -> list[str]:
         """Take note of what was at a target that ended; return what was news."""
@@ -43,33 +43,33 @@
                 continue
             suspect = self.by_content.pop(run.content, None) or Suspect(run.content)
             self.by_content[run.content] = suspect
-            end = End(target, run.caller, run.age_s, run.events, at, reported_by)
-            if suspect.add(end):
+            end = Crash(target, run.caller, run.age_s, run.events, at, reported_by)
+            if suspect.add_crash(end):
                 news.append(run.content)
         if news:
             self._newest_at = at
-        self._bound()
+        self._evict_excess()
         return news
 
     def _is_explained(self, target: str, at: float, content: str) -> bool:
         """Whether another request is in quarantine that was at the same end."""
         return any(
-            end.is_of(target, at)
+            end.matches(target, at)
             for suspect in self.by_content.values()
             if suspect.hold is not None and suspect.content != content
-            for end in suspect.ends
+            for end in suspect.crashes
         )
 
-    def sound(self, content: str, caller: str, at: float, now: float) -> bool:
+    def record_good_run(self, content: str, caller: str, at: float, now: float) -> bool:
         """Note a good run; False if nothing was held against it."""
         suspect = self.by_content.get(content)
         if suspect is None:
             return False
-        suspicious = bool(suspect.ends) or suspect.hold is not None
-        suspect.sound(caller, at, now)
+        suspicious = bool(suspect.crashes) or suspect.hold is not None
+        suspect.record_good_run(caller, at, now)
         return suspicious
 
-    def judge(self, now: float) -> list[Suspect]:
+    def evaluate(self, now: float) -> list[Suspect]:
         """Put in quarantine what is to blame by now; return what was added.
 
         Who began last is judged first, and what others share with it speaks no more
@@ -80,79 +80,87 @@
         if now >= self._newest_at + SETTLE_S:
             self._newest_at = None
         held: list[Suspect] = []
-        suspects = [one for one in self.by_content.values() if one.ends]
-        for suspect in sorted(suspects, key=_by_innocence):
+        suspects = [one for one in self.by_content.values() if one.crashes]
+        for suspect in sorted(suspects, key=_by_progress):
             callers = suspect.blamed_callers(now, now - SETTLE_S)
-            if callers is None or self._is_held(suspect, callers):
+            if callers is None or self._is_covered(suspect, callers):
                 continue
             since = suspect.hold.since if suspect.hold is not None else now
             trials = suspect.hold.trials if suspect.hold is not None else 0
-            suspect.hold = Hold(callers, since, trials, now + pause_s(trials))
+            suspect.hold = Hold(callers, since, trials, now + trial_delay_s(trials))
             held.append(suspect)
             for other in self.by_content.values():
                 if other is not suspect and other.hold is None:
-                    other.drop(suspect.ends)
+                    other.remove_crashes(suspect.crashes)
         return held
 
     @property
-    def unjudged(self) -> bool:
+    def evaluation_pending(self) -> bool:
         """Whether there is news that is not judged yet."""
         return self._newest_at is not None
 
-    def _is_held(self, suspect: Suspect, callers: frozenset[str]) -> bool:
+    def _is_covered(self, suspect: Suspect, callers: frozenset[str]) -> bool:
         hold = suspect.hold
         return hold is not None and (not hold.callers or callers == hold.callers)
 
-    def hold_of(self, content: str, caller: str) -> Hold | None:
+    def hold_for(self, content: str, caller: str) -> Hold | None:
         """Return the hold on a request; None if it may be sent."""
         suspect = self.by_content.get(content)
-        if suspect is None or not suspect.is_held_for(caller):
+        if suspect is None or not suspect.is_quarantined_for(caller):
             return None
         return suspect.hold
 
-    def restore(self, content: str, ends: list[End], hold: Hold | None) -> bool:
+    def merge(self, content: str, ends: list[Crash], hold: Hold | None) -> bool:
         """Take what was kept elsewhere; return whether it was news."""
         suspect = self.by_content.setdefault(content, Suspect(content))
-        news = suspect.restore(ends, hold)
-        if news and suspect.ends:
-            newest_at = suspect.ends[-1].at
+        news = suspect.merge(ends, hold)
+        if news and suspect.crashes:
+            newest_at = suspect.crashes[-1].at
             self._newest_at = max(newest_at, self._newest_at or newest_at)
-        self._bound()
+        self._evict_excess()
         return news
 
     def clear(self, content: str, at: float) -> bool:
         """Drop what was held against a content; False if that was nothing."""
         suspect = self.by_content.get(content)
-        if suspect is None or (suspect.hold is None and not suspect.ends):
+        if suspect is None or (suspect.hold is None and not suspect.crashes):
             return False
         suspect.clear(at)
         return True
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop suspects of which nothing was heard for long."""
         for content, suspect in list(self.by_content.items()):
-            suspect.ends = [end for end in suspect.ends if now - end.at < FORGET_S]
-            held = suspect.hold is not None and now < suspect.hold.trial_at + FORGET_S
-            if not suspect.ends and not held and now - suspect.sound_at > FORGET_S:
+            suspect.crashes = [
+                end for end in suspect.crashes if now - end.at < RETENTION_S
+            ]
+            held = (
+                suspect.hold is not None and now < suspect.hold.trial_at + RETENTION_S
+            )
+            if (
+                not suspect.crashes
+                and not held
+                and now - suspect.last_good_run_at > RETENTION_S
+            ):
                 del self.by_content[content]
 
-    def held(self) -> list[Suspect]:
+    def quarantined(self) -> list[Suspect]:
         """Return what is in quarantine."""
         return [one for one in self.by_content.values() if one.hold is not None]
 
-    def _bound(self) -> None:
+    def _evict_excess(self) -> None:
         """Keep to the most suspects; those that are held go last."""
         if len(self.by_content) <= MAX_SUSPECTS:
             return
-        order = sorted(self.by_content.values(), key=_by_need)
+        order = sorted(self.by_content.values(), key=_eviction_order)
         for suspect in order[: len(order) - MAX_SUSPECTS]:
             del self.by_content[suspect.content]
 
 
-def _by_innocence(suspect: Suspect) -> tuple[float, float]:
-    return suspect.innocence
+def _by_progress(suspect: Suspect) -> tuple[float, float]:
+    return suspect.mean_progress
 
 
-def _by_need(suspect: Suspect) -> tuple[bool, int]:
+def _eviction_order(suspect: Suspect) -> tuple[bool, int]:
     """Order by what is missed least: not held, few ends; else oldest news first."""
-    return suspect.hold is not None, len(suspect.ends)
+    return suspect.hold is not None, len(suspect.crashes)
--- a/src/caperridge/decisions/suspects.py
+++ b/src/caperridge/decisions/suspects.py
@@ -6,20 +6,20 @@
 QUARANTINE_THRESHOLD = 3
 # A request that ran well so recently is hardly to blame, even if a small fleet crashes
 # as a whole.
-SOUND_FOR_S = 10.0
+GOOD_RUN_TTL_S = 10.0
 QUARANTINE_THRESHOLD_AFTER_GOOD_RUN = 6
 # Reports of one target that come within this time are of one end. A target takes
 # seconds to start again.
-ONE_END_S = 1.5
+SAME_CRASH_WINDOW_S = 1.5
 # Until a request in quarantine is tried again, from the first time to the last, which
 # is kept to. Each try may cost a target, so there are three in two minutes at most.
-TRIAL_PAUSES_S = (1.0, 10.0, 60.0, 900.0, 3600.0)
+TRIAL_DELAYS_S = (1.0, 10.0, 60.0, 900.0, 3600.0)
 # The first try is for requests that are in demand: were one held that is not to blame,
 # its callers would be refused for a second instead of ten. One that nobody has sent
 # again by then has time.
-EARLY_FOR_S = 1.0
+FIRST_TRIAL_WINDOW_S = 1.0
 # What is remembered of each request, some 100 bytes each.
-MAX_ENDS = 12
+MAX_CRASHES = 12
 MAX_CALLERS = 12
 
 
@@ -42,7 +42,7 @@
         self.events = events
 
 
-class End(Record):
+class Crash(Record):
     """A target ended while a request was there.
 
     Attributes:
@@ -72,9 +72,9 @@
         self.at = at
         self.reported_by = reported_by
 
-    def is_of(self, target: str, at: float) -> bool:
+    def matches(self, target: str, at: float) -> bool:
         """Whether a report of ``target`` at that time is of this end."""
-        return self.target == target and abs(self.at - at) < ONE_END_S
+        return self.target == target and abs(self.at - at) < SAME_CRASH_WINDOW_S
 
 
 class Hold(Record):
@@ -98,9 +98,9 @@
         self.trial_at = trial_at
 
     @property
-    def _early_until(self) -> float:
+    def _first_trial_until(self) -> float:
         """Until when the first try may be made at once; it is over after one."""
-        return float("-inf") if self.trials else self.trial_at + EARLY_FOR_S
+        return float("-inf") if self.trials else self.trial_at + FIRST_TRIAL_WINDOW_S
 
     def is_due(self, now: float) -> bool:
         """Whether the request may be tried again."""
@@ -108,15 +108,15 @@
 
     def next_due(self, now: float) -> float:
         """Return from when on the request may be tried again, as of ``now``."""
-        if self.trials or now < self._early_until:
+        if self.trials or now < self._first_trial_until:
             return self.trial_at
-        return self.since + TRIAL_PAUSES_S[1]
+        return self.since + TRIAL_DELAYS_S[1]
 
     def after_trial(self, now: float) -> "Hold":
         """Return the hold from the moment on in which somebody tries again."""
-        early = now < self._early_until
+        early = now < self._first_trial_until
         trials = self.trials + (1 if early or self.trials else 2)
-        return Hold(self.callers, self.since, trials, now + pause_s(trials))
+        return Hold(self.callers, self.since, trials, now + trial_delay_s(trials))
 
 
 class Suspect:
@@ -128,37 +128,37 @@
         hold: it is in quarantine; else None.
     """
 
-    __slots__ = ("_cleared_at", "_sound_at_by_caller", "content", "ends", "hold")
+    __slots__ = ("_cleared_at", "_sound_at_by_caller", "content", "crashes", "hold")
 
     def __init__(self, content: str) -> None:
         self.content = content
         self._cleared_at = float("-inf")
-        self.ends: list[End] = []
+        self.crashes: list[Crash] = []
         self.hold: Hold | None = None
         self._sound_at_by_caller: dict[str, float] = {}
 
-    def add(self, end: End) -> bool:
+    def add_crash(self, end: Crash) -> bool:
         """Take an end; False if it is known."""
-        if any(one.is_of(end.target, end.at) for one in self.ends):
+        if any(one.matches(end.target, end.at) for one in self.crashes):
             return False
-        self.ends.append(end)
-        del self.ends[:-MAX_ENDS]
+        self.crashes.append(end)
+        del self.crashes[:-MAX_CRASHES]
         return True
 
-    def drop(self, shared: list[End]) -> None:
+    def remove_crashes(self, shared: list[Crash]) -> None:
         """Forget the ends that another request is to blame for."""
-        self.ends = [
+        self.crashes = [
             end
-            for end in self.ends
-            if not any(other.is_of(end.target, end.at) for other in shared)
+            for end in self.crashes
+            if not any(other.matches(end.target, end.at) for other in shared)
         ]
 
     @property
-    def sound_at(self) -> float:
+    def last_good_run_at(self) -> float:
         """When it last ran well, for whomever."""
         return max([self._cleared_at, *self._sound_at_by_caller.values()])
 
-    def sound_at_for(self, caller: str) -> float:
+    def last_good_run_at_for(self, caller: str) -> float:
         """When it last ran well for ``caller``."""
         return self._sound_at_by_caller.get(caller, float("-inf"))
 
@@ -166,40 +166,42 @@
         """Hold nothing against it that was known by then."""
         self._cleared_at = at
         self.hold = None
-        self.ends = [end for end in self.ends if end.at > at]
+        self.crashes = [end for end in self.crashes if end.at > at]
 
-    def sound(self, caller: str, at: float, now: float) -> None:
+    def record_good_run(self, caller: str, at: float, now: float) -> None:
         """Note that it ran well for ``caller``, now or a while ago."""
-        covered = self.is_held_for(caller)
+        covered = self.is_quarantined_for(caller)
         before = self._sound_at_by_caller.pop(caller, at)
         self._sound_at_by_caller[caller] = max(at, before)
         if len(self._sound_at_by_caller) > MAX_CALLERS:
             del self._sound_at_by_caller[next(iter(self._sound_at_by_caller))]
         for_all = self.hold is not None and not self.hold.callers
         if covered and for_all:
-            self.ends = [end for end in self.ends if end.at > at]
-        self.ends = [end for end in self.ends if end.caller != caller or end.at > at]
+            self.crashes = [end for end in self.crashes if end.at > at]
+        self.crashes = [
+            end for end in self.crashes if end.caller != caller or end.at > at
+        ]
         if covered and self.blamed_callers(now, now) is None:
             self.hold = None
 
-    def restore(self, ends: list[End], hold: Hold | None) -> bool:
+    def merge(self, ends: list[Crash], hold: Hold | None) -> bool:
         """Take what was kept elsewhere, unless it ran well since; whether it was news.
 
         Of two holds that with more trials is the later one.
         """
         news = False
         for end in ends:
-            if end.at > self.sound_at:
-                news = self.add(end) or news
-        self.ends.sort(key=_by_time)
-        if hold is None or hold.since <= self.sound_at:
+            if end.at > self.last_good_run_at:
+                news = self.add_crash(end) or news
+        self.crashes.sort(key=_by_time)
+        if hold is None or hold.since <= self.last_good_run_at:
             return news
         if self.hold is not None and self.hold.trials >= hold.trials:
             return news
         self.hold = hold
         return True
 
-    def is_held_for(self, caller: str) -> bool:
+    def is_quarantined_for(self, caller: str) -> bool:
         """Whether it is in quarantine for ``caller``."""
         return self.hold is not None and self._covers(self.hold, caller)
 
@@ -216,46 +218,46 @@
         Whose headers change from try to try is never seen twice. So ends of several
         callers count together, unless it ran well for any of them meanwhile.
         """
-        ends = [end for end in self.ends if end.at <= by]
-        since = [end for end in ends if end.at > self.sound_at]
+        ends = [end for end in self.crashes if end.at <= by]
+        since = [end for end in ends if end.at > self.last_good_run_at]
         several = len({end.caller for end in since}) > 1
-        if several and len(since) >= _enough_ends(now - self.sound_at):
+        if several and len(since) >= _crash_threshold(now - self.last_good_run_at):
             return frozenset()
         blamed: set[str] = set()
         for caller in {end.caller for end in ends}:
             count = sum(1 for end in ends if end.caller == caller)
-            if count >= _enough_ends(now - self.sound_at_for(caller)):
+            if count >= _crash_threshold(now - self.last_good_run_at_for(caller)):
                 blamed.add(caller)
         return frozenset(blamed) if blamed else None
 
     @property
-    def innocence(self) -> tuple[float, float]:
+    def mean_progress(self) -> tuple[float, float]:
         """Of two at the same ends, the one with less of it is to blame.
 
         One that ends targets had hardly begun at each; others were at any point.
         """
-        events = sum(end.events for end in self.ends)
-        age_s = sum(end.age_s for end in self.ends)
-        return events / len(self.ends), age_s / len(self.ends)
+        events = sum(end.events for end in self.crashes)
+        age_s = sum(end.age_s for end in self.crashes)
+        return events / len(self.crashes), age_s / len(self.crashes)
 
 
-def _enough_ends(sound_ago_s: float) -> int:
+def _crash_threshold(sound_ago_s: float) -> int:
     """Return how many ends are enough for one that ran well so long ago."""
     return (
         QUARANTINE_THRESHOLD_AFTER_GOOD_RUN
-        if sound_ago_s < SOUND_FOR_S
+        if sound_ago_s < GOOD_RUN_TTL_S
         else QUARANTINE_THRESHOLD
     )
 
 
-def pause_s(trials: int) -> float:
+def trial_delay_s(trials: int) -> float:
     """Return how long a request is held that was tried again so often.
 
-    >>> [pause_s(trials) for trials in (0, 1, 9)]
+    >>> [trial_delay_s(trials) for trials in (0, 1, 9)]
     [1.0, 10.0, 3600.0]
     """
-    return TRIAL_PAUSES_S[min(trials, len(TRIAL_PAUSES_S) - 1)]
+    return TRIAL_DELAYS_S[min(trials, len(TRIAL_DELAYS_S) - 1)]
 
 
-def _by_time(end: End) -> float:
+def _by_time(end: Crash) -> float:
     return end.at
--- a/src/caperridge/gateway/held_rows.py
+++ b/src/caperridge/gateway/held_rows.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from caperridge.decisions.quarantine import Quarantine
-from caperridge.decisions.suspects import End, Hold, Suspect
+from caperridge.decisions.suspects import Crash, Hold, Suspect
 from caperridge.elapsed import elapsed_s
 from caperridge.gateway.clock import StoreClock
 from caperridge.gateway.jobs.codec import UnreadableError, from_bytes, to_bytes
@@ -187,7 +187,7 @@
             except (UnreadableError, ValueError, TypeError) as error:
                 log.error("held request skipped", content=content, reason=str(error))
                 continue
-            if self._quarantine.restore(content, ends, hold):
+            if self._quarantine.merge(content, ends, hold):
                 news.append(content)
                 log.info(
                     "hold taken",
@@ -213,7 +213,7 @@
         hold = hold or suspect.hold
         ends = [
             [e.target, e.caller, e.age_s, e.events, e.at + ahead_s, e.reported_by]
-            for e in suspect.ends
+            for e in suspect.crashes
         ]
         if hold is None:
             return to_bytes(HeldRow(ends, [], 0.0, 0, 0.0))
@@ -227,7 +227,7 @@
             )
         )
 
-    def _restored(self, row: HeldRow) -> tuple[list[End], Hold | None]:
+    def _restored(self, row: HeldRow) -> tuple[list[Crash], Hold | None]:
         """Return what a row holds, by the clock of this machine.
 
         Raises:
@@ -237,9 +237,9 @@
         # Told by a peer before the store has answered, it is as new as can be.
         store_s = self._clock.now() if self._clock.known else row.since
         ahead_s = store_s - elapsed_s()
-        ends: list[End] = []
+        ends: list[Crash] = []
         for target, caller, age_s, events, at, reported_by in row.ends:
-            end = End(
+            end = Crash(
                 str(target),
                 str(caller),
                 float(age_s),
@@ -260,4 +260,4 @@
 
 
 def _is_worth_a_row(suspect: Suspect) -> bool:
-    return suspect.hold is not None or len(suspect.ends) >= KEPT_ENDS
+    return suspect.hold is not None or len(suspect.crashes) >= KEPT_ENDS
--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from caperridge.decisions.quarantine import SETTLE_S, Quarantine
-from caperridge.decisions.suspects import SOUND_FOR_S, End, Hold, LostRun, Suspect
+from caperridge.decisions.suspects import GOOD_RUN_TTL_S, Crash, Hold, LostRun, Suspect
 from caperridge.elapsed import elapsed_s
 from caperridge.gateway.fingerprint import Fingerprint
 from caperridge.gateway.fleet import Fleet
@@ -114,7 +114,7 @@
 
     def is_held(self, mark: Fingerprint) -> bool:
         """Whether a request is in quarantine and not to be tried again yet."""
-        hold = self.quarantine.hold_of(mark.content, mark.caller)
+        hold = self.quarantine.hold_for(mark.content, mark.caller)
         return hold is not None and not hold.is_due(elapsed_s())
 
     async def admit(self, mark: Fingerprint, request: str) -> HeldBack | None:
@@ -125,7 +125,7 @@
             request: its id, for the log.
         """
         self._judge()
-        hold = self.quarantine.hold_of(mark.content, mark.caller)
+        hold = self.quarantine.hold_for(mark.content, mark.caller)
         if hold is None:
             return None
         suspect = self.quarantine.by_content[mark.content]
@@ -138,7 +138,7 @@
         now = elapsed_s()
         left_s = (suspect.hold or hold).next_due(now) - now
         return HeldBack(
-            f"{len(suspect.ends)} targets ended while they ran it",
+            f"{len(suspect.crashes)} targets ended while they ran it",
             max(MIN_RETRY_AFTER_S, left_s),
         )
 
@@ -173,7 +173,7 @@
         self._sound_at[key] = now
         if len(self._sound_at) > MAX_GOOD_RUNS:
             self._sound_at.popitem(last=False)
-        if self.quarantine.sound(mark.content, mark.caller, now, now):
+        if self.quarantine.record_good_run(mark.content, mark.caller, now, now):
             self._cleared(mark.content, self._mesh.instance)
             self._mesh.send_all(SoundRuns([[mark.content, mark.caller, 0.0]]))
 
@@ -204,11 +204,11 @@
         self._take_end(news.target, runs, peer)
 
     def _take_end(self, target: str, runs: list[LostRun], reported_by: str) -> None:
-        news = self.quarantine.ended(target, runs, elapsed_s(), reported_by)
+        news = self.quarantine.record_crash(target, runs, elapsed_s(), reported_by)
         for content in news:
             suspect = self.quarantine.by_content.get(content)
             own = reported_by == self._mesh.instance
-            if own and suspect is not None and len(suspect.ends) >= KEPT_ENDS:
+            if own and suspect is not None and len(suspect.crashes) >= KEPT_ENDS:
                 self.rows.changed(content)
         if news:
             self._judge_soon()
@@ -230,8 +230,8 @@
         if at is None or suspect is None:
             return False
         now = elapsed_s()
-        said_s = now - suspect.sound_at_for(run.caller)
-        return now - at < SOUND_FOR_S and said_s > SOUND_FOR_S / 2
+        said_s = now - suspect.last_good_run_at_for(run.caller)
+        return now - at < GOOD_RUN_TTL_S and said_s > GOOD_RUN_TTL_S / 2
 
     def _exonerate(self, runs: list[LostRun]) -> None:
         now = elapsed_s()
@@ -240,7 +240,7 @@
             if not self._is_sound(run):
                 continue
             at = self._sound_at[run.content, run.caller]
-            self.quarantine.sound(run.content, run.caller, at, now)
+            self.quarantine.record_good_run(run.content, run.caller, at, now)
             told.append([run.content, run.caller, round(now - at, 3)])
         if told:
             self._mesh.send_all(SoundRuns(told))
@@ -248,7 +248,7 @@
     def _peer_ran_well(self, peer: str, news: SoundRuns) -> None:
         now = elapsed_s()
         for content, caller, ago_s in news.runs:
-            if self.quarantine.sound(content, caller, now - ago_s, now):
+            if self.quarantine.record_good_run(content, caller, now - ago_s, now):
                 self._cleared(content, peer)
 
     def _cleared(self, content: str, reported_by: str) -> None:
@@ -268,18 +268,18 @@
     def _judge_now(self) -> None:
         self._judge_timer = None
         self._judge()
-        if self.quarantine.unjudged:
+        if self.quarantine.evaluation_pending:
             self._judge_soon()
 
     def _judge(self) -> None:
-        for suspect in self.quarantine.judge(elapsed_s()):
+        for suspect in self.quarantine.evaluate(elapsed_s()):
             log.warning("request put in quarantine", **_told(suspect))
             self.rows.changed(suspect.content)
             self._count()
             self.quarantined(suspect.content)
 
     def _count(self) -> None:
-        self._metrics.quarantine.set(len(self.quarantine.held()))
+        self._metrics.quarantine.set(len(self.quarantine.quarantined()))
 
     # Telling who knows nothing.
 
@@ -292,7 +292,7 @@
         now = elapsed_s()
         for content, ends, hold in news.suspects:
             taken = [
-                End(target, caller, age_s, events, now - ago_s, by)
+                Crash(target, caller, age_s, events, now - ago_s, by)
                 for target, caller, age_s, events, ago_s, by in ends
             ]
             held = None
@@ -300,7 +300,7 @@
                 callers, since_s, trials, trial_in_s = hold
                 since, trial_at = now - since_s, now + trial_in_s
                 held = Hold(frozenset(callers), since, trials, trial_at)
-            if not self.quarantine.restore(content, taken, held):
+            if not self.quarantine.merge(content, taken, held):
                 continue
             told = _told(self.quarantine.by_content[content])
             log.info("suspect taken", reported_by=peer, **told)
@@ -323,13 +323,13 @@
         """Forget what is long ago until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_S)
-            self.quarantine.forget(elapsed_s())
+            self.quarantine.expire(elapsed_s())
             self.rows.sweep()
             self._count()
 
     def state(self) -> list[dict[str, Any]]:
         """Return what is in quarantine, for people."""
-        return [_told(suspect) for suspect in self.quarantine.held()]
+        return [_told(suspect) for suspect in self.quarantine.quarantined()]
 
 
 def _held_first(suspect: Suspect) -> bool:
@@ -349,9 +349,9 @@
                 "age_s": round(now - end.at, 3),
                 "reported_by": end.reported_by,
             }
-            for end in suspect.ends[-MAX_LOGGED_ENDS:]
+            for end in suspect.crashes[-MAX_LOGGED_ENDS:]
         ],
-        "ends_known": len(suspect.ends),
+        "ends_known": len(suspect.crashes),
         "callers": sorted(hold.callers) if hold is not None else None,
         "held_s": round(now - hold.since, 3) if hold is not None else None,
         "trials": hold.trials if hold is not None else 0,
@@ -364,7 +364,7 @@
     hold = suspect.hold
     ends = [
         [e.target, e.caller, e.age_s, e.events, round(now - e.at, 3), e.reported_by]
-        for e in suspect.ends
+        for e in suspect.crashes
     ]
     if hold is None:
         return [suspect.content, ends, []]
--- a/src/caperridge/instance/held_requests.py
+++ b/src/caperridge/instance/held_requests.py
@@ -14,7 +14,7 @@
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.quarantine import SETTLE_S, Quarantine
 from caperridge.decisions.rendezvous import owner
-from caperridge.decisions.suspects import SOUND_FOR_S, Hold, LostRun, Suspect
+from caperridge.decisions.suspects import GOOD_RUN_TTL_S, Hold, LostRun, Suspect
 from caperridge.instance.metrics import Metrics
 from caperridge.instance.online_request import OnlineRequest
 from caperridge.log import logger
@@ -74,7 +74,7 @@
             return
         self.judge()
         content = _content(request)
-        hold = self.quarantine.hold_of(content, request.caller.name)
+        hold = self.quarantine.hold_for(content, request.caller.name)
         if hold is None:
             return
         suspect = self.quarantine.by_content[content]
@@ -83,7 +83,7 @@
             suspect.hold = hold.after_trial(now)
             log.warning("request tried again", request=request.id, content=content)
             return
-        text = f"{len(suspect.ends)} engines ended while they ran it"
+        text = f"{len(suspect.crashes)} engines ended while they ran it"
         request.trace.add("refused", text, code=CODE, run=run, **_told(suspect, now))
         log.info(
             "request held back",
@@ -113,7 +113,7 @@
         """Wait until it is known who is to blame for what was lost by now."""
         if self._looks:
             await asyncio.wait(self._looks, timeout=sum(LOOKS_AFTER_S))
-        if self.quarantine.unjudged:
+        if self.quarantine.evaluation_pending:
             await asyncio.sleep(SETTLE_S)
 
     def ran_well(self, request: OnlineRequest) -> None:
@@ -124,7 +124,7 @@
         self._sound_at[content, caller] = now
         if len(self._sound_at) > MAX_GOOD_RUNS:
             del self._sound_at[next(iter(self._sound_at))]
-        if self.quarantine.sound(content, caller, now, now):
+        if self.quarantine.record_good_run(content, caller, now, now):
             log.info("suspect ran well", content=content, request=request.id)
             self._say_sound(content, caller, 0.0)
 
@@ -132,7 +132,8 @@
         """Return what is held, for the dump."""
         now = self._clock()
         return {
-            suspect.content: _told(suspect, now) for suspect in self.quarantine.held()
+            suspect.content: _told(suspect, now)
+            for suspect in self.quarantine.quarantined()
         }
 
     async def close(self) -> None:
@@ -173,10 +174,10 @@
     def _take(self, news: EndNews, reported_by: str) -> None:
         run = LostRun(news.content, news.caller, news.age_s, news.events)
         now = self._clock()
-        self.quarantine.ended(news.target, [run], now, reported_by)
+        self.quarantine.record_crash(news.target, [run], now, reported_by)
         at = self._sound_at.get((news.content, news.caller))
-        if at is not None and now - at < SOUND_FOR_S:
-            self.quarantine.sound(news.content, news.caller, at, now)
+        if at is not None and now - at < GOOD_RUN_TTL_S:
+            self.quarantine.record_good_run(news.content, news.caller, at, now)
             self._say_sound(news.content, news.caller, now - at)
 
     def _say_sound(self, content: str, caller: str, ago_s: float) -> None:
@@ -185,13 +186,15 @@
 
     def _sound_told(self, peer: str, news: SoundNews) -> None:
         now = self._clock()
-        self.quarantine.sound(news.content, news.caller, now - news.ago_s, now)
+        self.quarantine.record_good_run(
+            news.content, news.caller, now - news.ago_s, now
+        )
 
     def judge(self) -> None:
         """Put in quarantine what is to blame by now."""
         now = self._clock()
-        self.quarantine.forget(now)
-        for suspect in self.quarantine.judge(now):
+        self.quarantine.expire(now)
+        for suspect in self.quarantine.evaluate(now):
             log.warning(
                 "request put in quarantine",
                 content=suspect.content,
@@ -215,7 +218,7 @@
     return {
         "ends": [
             [end.target, round(now - end.at, 3), end.reported_by]
-            for end in suspect.ends
+            for end in suspect.crashes
         ],
         "trials": hold.trials if hold is not None else 0,
         "trial_in_s": round(hold.next_due(now) - now, 3) if hold is not None else None,
--- a/tests/gateway/test_requests_that_end_targets.py
+++ b/tests/gateway/test_requests_that_end_targets.py
@@ -46,7 +46,7 @@
 @pytest.fixture
 async def fleet(world: World, monkeypatch: pytest.MonkeyPatch) -> World:
     """Three instances and five targets, each of which a fatal request ends."""
-    monkeypatch.setattr(suspects, "TRIAL_PAUSES_S", PAUSES_S)
+    monkeypatch.setattr(suspects, "TRIAL_DELAYS_S", PAUSES_S)
     for _ in range(5):
         runner = await world.add_runner()
         runner.fatal = is_fatal
@@ -98,7 +98,7 @@
     await until(
         lambda: all(
             known_targets(one) >= {target.id for target in all_ended(world)}
-            and not one.guard.quarantine.unjudged
+            and not one.guard.quarantine.evaluation_pending
             for one in world.instances
         )
     )
@@ -111,7 +111,7 @@
 def known_targets(instance: GatewayInstance) -> set[str]:
     """Return the targets of whose end an instance knows."""
     suspects = instance.guard.quarantine.by_content.values()
-    return {end.target for suspect in suspects for end in suspect.ends}
+    return {end.target for suspect in suspects for end in suspect.crashes}
 
 
 def completed(world: World) -> set[str]:
@@ -254,7 +254,7 @@
     await repeat(fleet, "/once/1")
     fresh = await fleet.add_instance()
     await fleet.ready()
-    await until(lambda: fresh.guard.quarantine.held())
+    await until(lambda: fresh.guard.quarantine.quarantined())
     answer = await fleet.ask(fresh, "/once/1", "f", FATAL)
     assert (answer.status, ended(fleet)) == (503, ENOUGH)
 
@@ -390,7 +390,9 @@
     ahead.append(PAUSES_S[1])
     answer = await fleet.ask(fleet.instances[1], "/once/1", "good", FATAL)
     assert (answer.status, answer.whole) == (200, True)
-    await until(lambda: not any(one.guard.quarantine.held() for one in fleet.instances))
+    await until(
+        lambda: not any(one.guard.quarantine.quarantined() for one in fleet.instances)
+    )
     for number, instance in enumerate(fleet.instances):
         answer = await fleet.ask(instance, "/once/1", f"again{number}", FATAL)
         assert (answer.status, answer.whole) == (200, True)
@@ -525,7 +527,7 @@
     fleet.instances.remove(cut_off)
     await repeat(fleet, "/once/1")
     fleet.instances.append(cut_off)
-    await until(lambda: cut_off.guard.quarantine.held())
+    await until(lambda: cut_off.guard.quarantine.quarantined())
     answer = await fleet.ask(cut_off, "/once/1", "f", FATAL)
     assert (answer.status, ended(fleet)) == (503, ENOUGH)
 
@@ -563,7 +565,7 @@
         await fleet.ask(instance, "/once/1", f"f{number}", FATAL)
         await all_know(fleet)
     fresh = await fleet.add_instance()
-    await until(lambda: fresh.guard.quarantine.held())
+    await until(lambda: fresh.guard.quarantine.quarantined())
     assert ended(fleet) == ENOUGH
 
 
--- a/tests/policy/test_quarantine.py
+++ b/tests/policy/test_quarantine.py
@@ -8,16 +8,16 @@
 import pytest
 
 from caperridge.decisions.quarantine import (
-    FORGET_S,
     MAX_SUSPECTS,
+    RETENTION_S,
     SETTLE_S,
     Quarantine,
 )
 from caperridge.decisions.suspects import (
+    GOOD_RUN_TTL_S,
     QUARANTINE_THRESHOLD,
-    SOUND_FOR_S,
-    TRIAL_PAUSES_S,
-    End,
+    TRIAL_DELAYS_S,
+    Crash,
     Hold,
     LostRun,
 )
@@ -40,19 +40,19 @@
     def end(self, *runs: LostRun, reported_by: str = "e-0") -> None:
         """End one target with these runs, and let it be judged."""
         self.targets += 1
-        self.quarantine.ended(f"t-{self.targets}", runs, self.now, reported_by)
+        self.quarantine.record_crash(f"t-{self.targets}", runs, self.now, reported_by)
         self.judge()
 
     def judge(self) -> list[str]:
         """Let what was told settle; return what is held from now on."""
         self.now += SETTLE_S
-        return [one.content for one in self.quarantine.judge(self.now)]
+        return [one.content for one in self.quarantine.evaluate(self.now)]
 
     def sound(self, content: str, caller: str = "caller", ago_s: float = 0.0) -> None:
-        self.quarantine.sound(content, caller, self.now - ago_s, self.now)
+        self.quarantine.record_good_run(content, caller, self.now - ago_s, self.now)
 
     def is_held(self, content: str, caller: str = "caller") -> bool:
-        return self.quarantine.hold_of(content, caller) is not None
+        return self.quarantine.hold_for(content, caller) is not None
 
 
 @pytest.fixture
@@ -66,12 +66,12 @@
         fleet.end(bystander(f"sound-{number}"), FATAL)
         fleet.now += 0.3
     assert fleet.is_held("fatal")
-    assert [one.content for one in fleet.quarantine.held()] == ["fatal"]
+    assert [one.content for one in fleet.quarantine.quarantined()] == ["fatal"]
 
 
 def test_one_end_reported_by_all_instances_is_one(fleet: Fleet) -> None:
     for instance in ("e-0", "e-1", "e-2"):
-        fleet.quarantine.ended("t", [FATAL], fleet.now, instance)
+        fleet.quarantine.record_crash("t", [FATAL], fleet.now, instance)
         fleet.now += 0.004
     fleet.judge()
     assert not fleet.is_held("fatal")
@@ -79,7 +79,7 @@
 
 def test_a_target_that_ends_again_under_its_name_counts_again(fleet: Fleet) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.quarantine.ended("t", [FATAL], fleet.now, "e-0")
+        fleet.quarantine.record_crash("t", [FATAL], fleet.now, "e-0")
         fleet.now += 4.0
     fleet.judge()
     assert fleet.is_held("fatal")
@@ -106,10 +106,10 @@
     for _ in range(QUARANTINE_THRESHOLD - 1):
         fleet.end(victim, FATAL)
         fleet.now += 0.3
-    fleet.quarantine.ended("last", [victim], fleet.now, "e-0")
+    fleet.quarantine.record_crash("last", [victim], fleet.now, "e-0")
     fleet.now += SETTLE_S / 2
-    fleet.quarantine.judge(fleet.now)
-    fleet.quarantine.ended("last", [FATAL], fleet.now, "e-1")
+    fleet.quarantine.evaluate(fleet.now)
+    fleet.quarantine.record_crash("last", [FATAL], fleet.now, "e-1")
     assert fleet.judge() == ["fatal"]
     assert not fleet.is_held("moved")
 
@@ -130,7 +130,9 @@
     fleet: Fleet,
 ) -> None:
     for number in range(QUARANTINE_THRESHOLD + 1):
-        fleet.quarantine.ended(f"t-{number}", [bystander("popular")], fleet.now, "e-0")
+        fleet.quarantine.record_crash(
+            f"t-{number}", [bystander("popular")], fleet.now, "e-0"
+        )
     fleet.sound("popular", ago_s=0.7)
     assert fleet.judge() == []
 
@@ -140,7 +142,7 @@
 ) -> None:
     for number in range(QUARANTINE_THRESHOLD + 1):
         run = LostRun("popular", f"headers-{number}", 0.4, 18)
-        fleet.quarantine.ended(f"t-{number}", [run], fleet.now, "e-0")
+        fleet.quarantine.record_crash(f"t-{number}", [run], fleet.now, "e-0")
     fleet.sound("popular", "headers-9", ago_s=0.7)
     assert fleet.judge() == []
 
@@ -156,7 +158,7 @@
 def test_a_request_that_ran_well_long_ago_can_be_to_blame(fleet: Fleet) -> None:
     fleet.end(FATAL)
     fleet.sound("fatal")
-    fleet.now += SOUND_FOR_S
+    fleet.now += GOOD_RUN_TTL_S
     for _ in range(QUARANTINE_THRESHOLD):
         fleet.end(FATAL)
     assert fleet.is_held("fatal")
@@ -209,7 +211,7 @@
             if not fleet.is_held(one.content):
                 fleet.end(one)
                 fleet.now += 0.2
-    held = {one.content for one in fleet.quarantine.held()}
+    held = {one.content for one in fleet.quarantine.quarantined()}
     assert held == {one.content for one in others}
 
 
@@ -226,7 +228,7 @@
 def test_a_good_run_clears_a_request(fleet: Fleet) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
         fleet.end(FATAL)
-    fleet.now += TRIAL_PAUSES_S[0]
+    fleet.now += TRIAL_DELAYS_S[0]
     fleet.sound("fatal")
     assert not fleet.is_held("fatal")
     fleet.end(FATAL)
@@ -242,7 +244,7 @@
     began = fleet.now
     tried: list[float] = []
     while fleet.now < began + 120.0:
-        hold = fleet.quarantine.hold_of("fatal", "caller")
+        hold = fleet.quarantine.hold_for("fatal", "caller")
         assert hold is not None
         if hold.is_due(fleet.now):
             tried.append(fleet.now - began)
@@ -257,43 +259,43 @@
     """Who is not in demand has time: the first try is over when nobody made it."""
     for _ in range(QUARANTINE_THRESHOLD):
         fleet.end(FATAL)
-    hold = fleet.quarantine.hold_of("fatal", "caller")
+    hold = fleet.quarantine.hold_for("fatal", "caller")
     assert hold is not None
     due = [s / 2 for s in range(30) if hold.is_due(hold.since + s / 2)]
     assert due == [1.0, 1.5, *(s / 2 for s in range(20, 30))]
-    assert hold.next_due(hold.since + 3.0) == hold.since + TRIAL_PAUSES_S[1]
+    assert hold.next_due(hold.since + 3.0) == hold.since + TRIAL_DELAYS_S[1]
     later = hold.after_trial(hold.since + 12.0)
-    assert later.next_due(hold.since + 13.0) == hold.since + 12.0 + TRIAL_PAUSES_S[2]
+    assert later.next_due(hold.since + 13.0) == hold.since + 12.0 + TRIAL_DELAYS_S[2]
 
 
 def test_what_a_peer_kept_of_an_older_hold_does_not_come_back(fleet: Fleet) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
         fleet.end(FATAL)
     suspect = fleet.quarantine.by_content["fatal"]
-    ends, hold = list(suspect.ends), suspect.hold
+    ends, hold = list(suspect.crashes), suspect.hold
     fleet.now += 1.0
     fleet.sound("fatal")
-    fleet.quarantine.restore("fatal", ends, hold)
+    fleet.quarantine.merge("fatal", ends, hold)
     fleet.judge()
     assert not fleet.is_held("fatal")
 
 
 def test_who_knows_nothing_takes_a_hold_from_elsewhere(fleet: Fleet) -> None:
-    ends = [End(f"t-{n}", "caller", 0.1, 0, 90.0 + n, "e-1") for n in range(3)]
+    ends = [Crash(f"t-{n}", "caller", 0.1, 0, 90.0 + n, "e-1") for n in range(3)]
     hold = Hold(frozenset({"caller"}), 93.0, 1, 160.0)
-    assert fleet.quarantine.restore("fatal", ends, hold)
+    assert fleet.quarantine.merge("fatal", ends, hold)
     assert fleet.is_held("fatal")
     later = Hold(frozenset({"caller"}), 93.0, 2, 1060.0)
-    assert fleet.quarantine.restore("fatal", ends, later)
-    assert not fleet.quarantine.restore("fatal", ends, hold)
-    assert fleet.quarantine.hold_of("fatal", "caller").trial_at == 1060.0
+    assert fleet.quarantine.merge("fatal", ends, later)
+    assert not fleet.quarantine.merge("fatal", ends, hold)
+    assert fleet.quarantine.hold_for("fatal", "caller").trial_at == 1060.0
 
 
 def test_ends_that_two_saw_apart_add_up(fleet: Fleet) -> None:
     """An instance that was cut off knows of one end, its peers of two others."""
     fleet.end(FATAL)
-    ends = [End(f"u-{n}", "caller", 0.1, 0, 99.0 + n / 2, "e-1") for n in range(2)]
-    fleet.quarantine.restore("fatal", ends, None)
+    ends = [Crash(f"u-{n}", "caller", 0.1, 0, 99.0 + n / 2, "e-1") for n in range(2)]
+    fleet.quarantine.merge("fatal", ends, None)
     assert fleet.judge() == ["fatal"]
 
 
@@ -303,18 +305,20 @@
     for _ in range(QUARANTINE_THRESHOLD):
         fleet.end(FATAL)
     for number in range(2 * MAX_SUSPECTS):
-        fleet.quarantine.ended(f"x-{number}", [bystander(f"b-{number}")], 200.0, "e")
+        fleet.quarantine.record_crash(
+            f"x-{number}", [bystander(f"b-{number}")], 200.0, "e"
+        )
     assert len(fleet.quarantine.by_content) == MAX_SUSPECTS
     assert fleet.is_held("fatal")
     for _ in range(100):
         fleet.end(FATAL)
         fleet.now += 2.0
-    assert len(fleet.quarantine.by_content["fatal"].ends) < 20
+    assert len(fleet.quarantine.by_content["fatal"].crashes) < 20
 
 
 def test_old_ends_are_forgotten(fleet: Fleet) -> None:
     fleet.end(FATAL)
     fleet.end(FATAL)
-    fleet.now += FORGET_S
-    fleet.quarantine.forget(fleet.now)
+    fleet.now += RETENTION_S
+    fleet.quarantine.expire(fleet.now)
     assert not fleet.quarantine.by_content
--- a/tests/promises/test_requests_that_end_engines.py
+++ b/tests/promises/test_requests_that_end_engines.py
@@ -62,7 +62,7 @@
 
 @pytest.fixture
 async def engines(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> Engines:
-    monkeypatch.setattr(suspects, "TRIAL_PAUSES_S", PAUSES_S)
+    monkeypatch.setattr(suspects, "TRIAL_DELAYS_S", PAUSES_S)
     for number in range(4):
         await fleet.standins.add_engine(f"runner-{number + 10}")
     poll(fleet)
@@ -105,7 +105,7 @@
 def has_judged(instance: Instance) -> bool:
     """Return whether an instance knows what is to blame for what it heard."""
     instance.held_requests.judge()
-    return not instance.held_requests.quarantine.unjudged
+    return not instance.held_requests.quarantine.evaluation_pending
 
 
 async def test_it_is_kept_from_engines_at_every_instance(
