--- a/src/caperridge/decisions/affinity.py
+++ b/src/caperridge/decisions/affinity.py
@@ -47,7 +47,7 @@
     return len(prompt) // CHARACTERS_A_TOKEN + 1
 
 
-class PrefixHistory:
+class PrefixIndex:
     """The targets that hold each prefix, the least recently used going first.
 
     Args:
@@ -61,7 +61,7 @@
     def __len__(self) -> int:
         return len(self._holders_by_block)
 
-    def note(self, target: str, blocks: Iterable[int]) -> None:
+    def record(self, target: str, blocks: Iterable[int]) -> None:
         """Note that ``target`` got, or said that it cached, these prefixes."""
         for block in blocks:
             holders = self._holders_by_block.get(block)
@@ -76,7 +76,7 @@
         while len(self._holders_by_block) > self._most_blocks:
             self._holders_by_block.popitem(last=False)
 
-    def forget(self, target: str) -> None:
+    def remove_target(self, target: str) -> None:
         """Forget a target whose cache is gone with it."""
         for block, holders in list(self._holders_by_block.items()):
             if target not in holders:
--- a/src/caperridge/decisions/ejection.py
+++ b/src/caperridge/decisions/ejection.py
@@ -17,10 +17,10 @@
     WrongAnswer,
 )
 
-STRIKES_TO_EJECT = 3
-FIRST_OUT_S = 1.0
-LONGEST_OUT_S = 30.0
-MOST_OUT_SHARE = 0.5
+EJECTION_THRESHOLD = 3
+BASE_EJECTION_S = 1.0
+MAX_EJECTION_S = 30.0
+MAX_EJECTED_RATIO = 0.5
 
 
 @singledispatch
@@ -31,7 +31,7 @@
 
 @strikes_of.register
 def _(error: NotSent) -> int:
-    return STRIKES_TO_EJECT  # nobody listens: the next one would find nobody either
+    return EJECTION_THRESHOLD  # nobody listens: the next one would find nobody either
 
 
 @strikes_of.register
@@ -41,7 +41,7 @@
 
 @strikes_of.register
 def _(error: WrongAnswer) -> int:
-    return STRIKES_TO_EJECT
+    return EJECTION_THRESHOLD
 
 
 @strikes_of.register
@@ -80,33 +80,33 @@
         self.out_until = out_until
         self.returned_at = returned_at
 
-    def is_out(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         """Return whether the target is ejected at ``now``."""
         return self.out_until > now
 
     @property
     def on_probation(self) -> bool:
         """Whether the target was ejected and has not answered since."""
-        return bool(self.returned_at) and self.strikes >= STRIKES_TO_EJECT - 1
+        return bool(self.returned_at) and self.strikes >= EJECTION_THRESHOLD - 1
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Note a whole answer; it ends a probation."""
         self.strikes = 0
-        if not self.is_out(now):
+        if not self.is_ejected(now):
             self.ejections = 0
 
-    def failed(self, error: AttemptError) -> bool:
+    def record_failure(self, error: AttemptError) -> bool:
         """Note a failure; return whether the target should be ejected."""
         self.strikes += strikes_of(error)
-        return self.strikes >= STRIKES_TO_EJECT
+        return self.strikes >= EJECTION_THRESHOLD
 
     def eject(self, now: float) -> float:
         """Eject the target; return for how long."""
-        out_s = min(LONGEST_OUT_S, FIRST_OUT_S * 2**self.ejections)
+        out_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.ejections)
         self.ejections = min(self.ejections + 1, 10)
         self.out_until = now + out_s
         self.returned_at = self.out_until
-        self.strikes = STRIKES_TO_EJECT - 1
+        self.strikes = EJECTION_THRESHOLD - 1
         return out_s
 
 
@@ -116,4 +116,4 @@
     >>> may_eject(1, 0), may_eject(2, 0), may_eject(2, 1), may_eject(6, 2)
     (False, True, False, True)
     """
-    return out + 1 <= usable * MOST_OUT_SHARE
+    return out + 1 <= usable * MAX_EJECTED_RATIO
--- a/src/caperridge/decisions/routing.py
+++ b/src/caperridge/decisions/routing.py
@@ -12,9 +12,9 @@
 from collections.abc import Collection, Iterable, Sequence
 from itertools import chain
 
-from caperridge.decisions.affinity import PrefixHistory
+from caperridge.decisions.affinity import PrefixIndex
 from caperridge.decisions.ejection import may_eject
-from caperridge.decisions.target_state import TargetReport, TargetState, Wanted
+from caperridge.decisions.target_state import RequestProfile, TargetReport, TargetState
 from caperridge.records import Record
 from caperridge.store.interface import ListedMember
 from caperridge.targets.outcomes import AttemptError
@@ -28,7 +28,7 @@
 SCAN_UP_TO = 12  # targets; so few are compared all
 
 
-class Weighed(Record):
+class ScoredTarget(Record):
     """One target as it was weighed; kept for the explanation of a request."""
 
     __slots__ = ("score", "target")
@@ -48,7 +48,7 @@
         self.others: list[TargetState] = []
 
 
-class TargetBook:
+class TargetPool:
     """The targets of all services, by id.
 
     Args:
@@ -62,22 +62,22 @@
         self,
         availability_zone: str,
         seed: int = 0,
-        random_own_zone: int = RANDOM_OWN_ZONE,
-        scan_up_to: int = SCAN_UP_TO,
+        own_zone_samples: int = RANDOM_OWN_ZONE,
+        full_scan_max: int = SCAN_UP_TO,
     ) -> None:
         self.states_by_id: dict[str, TargetState] = {}
-        self.history = PrefixHistory()
+        self.prefix_index = PrefixIndex()
         self._availability_zone = availability_zone
         self._random = random.Random(seed)
-        self._random_own_zone = random_own_zone
-        self._scan_up_to = scan_up_to
+        self._own_zone_samples = own_zone_samples
+        self._full_scan_max = full_scan_max
         self._targets_by_service: dict[str, ServiceTargets] = {}
         self._usual_by_service: dict[str, float] = {}
         self._open_ids: set[str] = set()
         self._gone_by_id: OrderedDict[str, TargetState] = OrderedDict()
         self._closed: set[str] = set()
 
-    def close(self, targets: set[str]) -> None:
+    def set_closed(self, targets: set[str]) -> None:
         """Leave out ``targets``, which load or hold something else, where others serve.
 
         They are back with the next call that does not name them.
@@ -105,7 +105,7 @@
                 self.states_by_id[target_id] = state
             if state is None or state.member.incarnation < member.incarnation:
                 if state is not None:
-                    self.history.forget(target_id)
+                    self.prefix_index.remove_target(target_id)
                 state = TargetState(member, since=since)
                 self.states_by_id[target_id] = state
             if member.incarnation < state.member.incarnation:
@@ -172,44 +172,44 @@
             return ()
         return chain(targets.own_zone, targets.others)
 
-    def any_usable(self, service: str) -> bool:
+    def has_usable(self, service: str) -> bool:
         """Return whether any target of ``service`` may get a request."""
         return service in self._targets_by_service
 
-    def has_room(self, service: str, most_running: int, now: float) -> bool:
+    def has_capacity(self, service: str, most_running: int, now: float) -> bool:
         """Return whether some target of ``service`` could start one more soon."""
         out_has_room = False
         all_out = True
         for state in self._listed(service):
             is_out = state.health.out_until > now
             all_out = all_out and is_out
-            if not state.has_room(most_running, now):
+            if not state.has_capacity(most_running, now):
                 continue
             if not is_out:
                 return True
             out_has_room = True
         return all_out and out_has_room
 
-    def weigh(
+    def rank(
         self,
         service: str,
         excluded: Collection[str] = (),
-        wanted: Wanted | None = None,
+        wanted: RequestProfile | None = None,
         now: float = 0.0,
-    ) -> list[Weighed]:
+    ) -> list[ScoredTarget]:
         """Return all usable targets of ``service``, the best first."""
         return self._ranked(
-            self.usable(service, excluded, now), wanted or Wanted(), now
+            self.usable(service, excluded, now), wanted or RequestProfile(), now
         )
 
     def choose(
         self,
         service: str,
         excluded: Collection[str],
-        wanted: Wanted,
+        wanted: RequestProfile,
         now: float,
         blocks: Sequence[int] = (),
-    ) -> list[Weighed]:
+    ) -> list[ScoredTarget]:
         """Return the compared candidates, the best first; empty if none is usable.
 
         Args:
@@ -222,8 +222,8 @@
         targets = self._targets_by_service.get(service)
         if targets is None:
             return []
-        if len(targets.own_zone) + len(targets.others) <= self._scan_up_to:
-            return self.weigh(service, excluded, wanted, now)
+        if len(targets.own_zone) + len(targets.others) <= self._full_scan_max:
+            return self.rank(service, excluded, wanted, now)
         candidates = self._candidates(targets, wanted, blocks)
         usable = [
             state
@@ -231,12 +231,12 @@
             if state.health.out_until <= now and state.member.id not in excluded
         ]
         for state in usable:
-            if state.has_room(wanted.most_running, now):
+            if state.has_capacity(wanted.most_running, now):
                 return self._ranked(usable, wanted, now)
-        return self.weigh(service, excluded, wanted, now)
+        return self.rank(service, excluded, wanted, now)
 
     def _candidates(
-        self, targets: ServiceTargets, wanted: Wanted, blocks: Sequence[int]
+        self, targets: ServiceTargets, wanted: RequestProfile, blocks: Sequence[int]
     ) -> list[TargetState]:
         found_by_id: dict[str, TargetState] = {}
         for target_id in wanted.tokens_by_target:
@@ -250,7 +250,7 @@
             state = targets.own_zone[home % len(targets.own_zone)]
             found_by_id[state.member.id] = state
         for states, count in (
-            (targets.own_zone, self._random_own_zone),
+            (targets.own_zone, self._own_zone_samples),
             (targets.others, RANDOM_OTHER_ZONE),
         ):
             for _ in range(count if states else 0):
@@ -259,25 +259,27 @@
         return list(found_by_id.values())
 
     def _ranked(
-        self, states: Iterable[TargetState], wanted: Wanted, now: float
-    ) -> list[Weighed]:
+        self, states: Iterable[TargetState], wanted: RequestProfile, now: float
+    ) -> list[ScoredTarget]:
         zone = self._availability_zone
-        room: list[Weighed] = []
-        full: list[Weighed] = []
+        room: list[ScoredTarget] = []
+        full: list[ScoredTarget] = []
         for state in states:
-            has_room = state.has_room(wanted.most_running, now)
-            weighed = Weighed(state.member.id, state.score(wanted, zone, now))
+            has_room = state.has_capacity(wanted.most_running, now)
+            weighed = ScoredTarget(state.member.id, state.score(wanted, zone, now))
             (room if has_room else full).append(weighed)
         for weighed_ones in (room, full):
             weighed_ones.sort(key=lambda item: (item.score, item.target))
         return room + full
 
-    def parts(self, target_id: str, wanted: Wanted, now: float) -> dict[str, object]:
+    def score_parts(
+        self, target_id: str, wanted: RequestProfile, now: float
+    ) -> dict[str, object]:
         """Return what a target's score was made of."""
         state = self.states_by_id[target_id]
-        return state.parts(wanted, self._availability_zone, now)
+        return state.score_parts(wanted, self._availability_zone, now)
 
-    def started(
+    def record_start(
         self, target_id: str, blocks: Sequence[int] = (), now: float = 0.0
     ) -> None:
         """Count a request sent to the target."""
@@ -287,42 +289,42 @@
         if not state.in_flight:
             state.heard_at = now
         state.in_flight += 1
-        self.history.note(target_id, blocks)
+        self.prefix_index.record(target_id, blocks)
 
-    def heard(self, target_id: str, now: float) -> None:
+    def record_event(self, target_id: str, now: float) -> None:
         """Note that events came from the target."""
         state = self.states_by_id.get(target_id)
         if state is not None:
             state.heard_at = now
 
-    def ended(self, target_id: str) -> None:
+    def record_finish(self, target_id: str) -> None:
         """Count a request that left the target."""
         state = self._state(target_id)
         if state is not None and state.in_flight > 0:
             state.in_flight -= 1
 
-    def succeeded(self, target_id: str, now: float) -> None:
+    def record_success(self, target_id: str, now: float) -> None:
         """Note a whole answer of the target."""
         state = self.states_by_id.get(target_id)
         if state is not None:
-            state.health.succeeded(now)
+            state.health.record_success(now)
 
-    def failed(self, target_id: str, error: AttemptError, now: float) -> float:
+    def record_failure(self, target_id: str, error: AttemptError, now: float) -> float:
         """Note a failed attempt; return for how long the target is ejected, or 0."""
         state = self.states_by_id.get(target_id)
-        if state is None or state.health.is_out(now):
+        if state is None or state.health.is_ejected(now):
             return 0.0
-        if not state.health.failed(error):
+        if not state.health.record_failure(error):
             return 0.0
         usable, out = 0, 0
         for other in self._listed(state.member.service):
             usable += 1
-            out += other.health.is_out(now)
+            out += other.health.is_ejected(now)
         if not may_eject(usable, out):
             return 0.0
         return state.health.eject(now)
 
-    def report(self, target_id: str, report: TargetReport) -> None:
+    def record_report(self, target_id: str, report: TargetReport) -> None:
         """Take in what is heard of a target's load."""
         state = self.states_by_id.get(target_id)
         if state is None:
--- a/src/caperridge/decisions/target_state.py
+++ b/src/caperridge/decisions/target_state.py
@@ -29,7 +29,7 @@
 NO_ADAPTER_S = 1.0
 
 
-class Wanted(Record):
+class RequestProfile(Record):
     """What a request wants of a target.
 
     Attributes:
@@ -179,7 +179,7 @@
             expected += min(OTHERS_FOLLOW * since, MOST_FOLLOW * report.usual)
         return self.in_flight + expected
 
-    def has_room(self, most_running: int, now: float) -> bool:
+    def has_capacity(self, most_running: int, now: float) -> bool:
         """Return whether one more request would start soon at the target.
 
         A few above ``most_running`` keep the target busy while the word of an end
@@ -195,7 +195,7 @@
             return False
         return self.load(now) < most_running + max(1, most_running // 8)
 
-    def first_token_seen(self, seconds: float, now: float) -> None:
+    def record_first_token(self, seconds: float, now: float) -> None:
         """Note how long a first token took, here or at a peer."""
         if self.first_token_s == 0.0:
             self.first_token_s = seconds
@@ -210,7 +210,7 @@
             queued = max(queued, report.waiting)
         return HOLD_S * max(0.0, queued) / most_running
 
-    def score(self, wanted: Wanted, zone: str, now: float) -> float:
+    def score(self, wanted: RequestProfile, zone: str, now: float) -> float:
         """Return the expected delay of a first token here, in seconds."""
         report = self.report
         busy_s = LOAD_S * (self.expected_load(now) + 1)
@@ -238,7 +238,9 @@
             score += _missing_s(report, wanted)
         return score
 
-    def parts(self, wanted: Wanted, zone: str, now: float) -> dict[str, Any]:
+    def score_parts(
+        self, wanted: RequestProfile, zone: str, now: float
+    ) -> dict[str, Any]:
         """Return what the score was made of, for an explanation."""
         cached = wanted.tokens_by_target.get(self.member.id, 0)
         return {
@@ -254,7 +256,7 @@
         }
 
 
-def _missing_s(report: TargetReport, wanted: Wanted) -> float:
+def _missing_s(report: TargetReport, wanted: RequestProfile) -> float:
     missing_s = 0.0
     if wanted.version and report.version and report.version != wanted.version:
         missing_s += WRONG_VERSION_S
--- a/src/caperridge/gateway/fleet.py
+++ b/src/caperridge/gateway/fleet.py
@@ -113,19 +113,19 @@
         """Note a whole answer of ``target``."""
         health = self._health_by_target.get(target)
         if health is not None:
-            health.succeeded(now)
+            health.record_success(now)
 
     def failed(self, target: Target, error: AttemptError, now: float) -> None:
         """Note what became of an attempt; eject the target if that is enough."""
         health = self._health_by_target.setdefault(target.id, Health())
-        if health.is_out(now):
+        if health.is_ejected(now):
             # Requests that were under way when it was ejected say nothing new.
             return
         failed_at = self._failed_at_by_target.get(target.id, now)
         self._failed_at_by_target[target.id] = now
         if now - failed_at > FAILURES_COUNT_FOR_S:
             health = self._health_by_target[target.id] = Health()
-        if not health.failed(error):
+        if not health.record_failure(error):
             return
         out_s = min(health.eject(now), LONGEST_OUT_S)
         health.out_until = now + out_s
@@ -170,4 +170,4 @@
         if self._replaced_until_by_target.get(target, 0.0) > now:
             return True
         health = self._health_by_target.get(target)
-        return health is not None and health.is_out(now)
+        return health is not None and health.is_ejected(now)
--- a/src/caperridge/instance/attempts.py
+++ b/src/caperridge/instance/attempts.py
@@ -6,7 +6,7 @@
 from contextlib import aclosing
 
 from caperridge.decisions.progress import Progress
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.service_policy import (
     UNREPEATABLE_BETWEEN_S,
     UNREPEATABLE_FIRST_S,
@@ -14,7 +14,7 @@
     ServicePolicy,
 )
 from caperridge.decisions.suspects import QUARANTINE_THRESHOLD
-from caperridge.decisions.target_state import Wanted
+from caperridge.decisions.target_state import RequestProfile
 from caperridge.instance.attempt_log import log_failure
 from caperridge.instance.attempt_watch import AttemptWatch
 from caperridge.instance.gate import NO_TARGET, Gate
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetPool,
         gate: Gate,
         engines: EngineClient,
         metrics: Metrics,
@@ -100,7 +100,7 @@
                 await self._enter(request, progress)
             try:
                 target = self._choose(request, progress)
-                self._book.started(target, request.blocks, self._clock())
+                self._book.record_start(target, request.blocks, self._clock())
                 self._tell_load(target)
             finally:
                 if not progress.began:
@@ -189,9 +189,9 @@
     def _choose(self, request: OnlineRequest, progress: Progress) -> str:
         service = request.service
         now = self._clock()
-        wanted = Wanted(
+        wanted = RequestProfile(
             request.tokens,
-            self._book.history.tokens_by_target(request.blocks),
+            self._book.prefix_index.tokens_by_target(request.blocks),
             service.version,
             request.adapter,
             service.most_running,
@@ -203,7 +203,7 @@
             raise self._no_target(request, progress)
         best = weighed[0].target
         progress.alone = len(weighed) == 1 and self._is_only(best, request, progress)
-        parts = self._book.parts(best, wanted, now)
+        parts = self._book.score_parts(best, wanted, now)
         self._metrics.routed.labels(
             service.name, "cached" if parts["cached_tokens"] else "not_cached"
         ).inc()
@@ -218,10 +218,10 @@
         return best
 
     def _is_only(self, target: str, request: OnlineRequest, progress: Progress) -> bool:
-        wanted = Wanted(request.tokens)
+        wanted = RequestProfile(request.tokens)
         excluded = progress.excluded | {target}
         name = request.service.name
-        return not self._book.weigh(name, excluded, wanted, self._clock())
+        return not self._book.rank(name, excluded, wanted, self._clock())
 
     def _attempt(
         self,
@@ -272,19 +272,19 @@
                 async for events in batches:
                     now = self._clock()
                     watch.events(len(events), now)
-                    self._book.heard(target, now)
+                    self._book.record_event(target, now)
                     progress.advanced(events)
                     yield events
                     watch.resumed(self._clock())
             whole = True
             self._metrics.attempts.labels(request.service.name, "whole").inc()
-            self._book.succeeded(target, self._clock())
+            self._book.record_success(target, self._clock())
         except AttemptFailed as failed:
             if isinstance(failed.error, Lost):
                 watch.lost(self._clock())
             raise
         finally:
-            self._book.ended(target)
+            self._book.record_finish(target)
             self._tell_load(target, watch)
             self._gate.pump(request.service.name, request.service.most_running)
             self._note_latency(target, watch)
@@ -295,7 +295,7 @@
         watch.note()
         state = self._book.states_by_id.get(target)
         if state is not None and watch.tokens:
-            state.first_token_seen(watch.first_s, self._clock())
+            state.record_first_token(watch.first_s, self._clock())
 
     def _cancel_later(self, attempt: Attempt) -> None:
         cancel = self._engines.cancel(attempt.address, attempt.attempt)
@@ -314,7 +314,7 @@
         service = request.service
         progress.failed(target, error, service.believes_not_run)
         self._metrics.attempts.labels(service.name, kind).inc()
-        out_s = self._book.failed(target, error, self._clock())
+        out_s = self._book.record_failure(target, error, self._clock())
         if out_s:
             self._metrics.ejected.labels(service.name).inc()
         request.trace.add(
--- a/src/caperridge/instance/batch_streams.py
+++ b/src/caperridge/instance/batch_streams.py
@@ -14,7 +14,7 @@
 from caperridge.decisions.headroom import LEAST_PAUSE_S, BatchStream, Headroom
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.own_targets import OwnTargets
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.instance.absent_targets import AbsentTargets
 from caperridge.instance.attempt_log import log_failure
 from caperridge.instance.item_work import ItemWork
@@ -56,7 +56,7 @@
         finished: Finished,
     ) -> None:
         self.headroom = Headroom()
-        self.book = TargetBook(membership.availability_zone)
+        self.book = TargetPool(membership.availability_zone)
         self.configuration = Configuration()
         self.finished = finished
         self._closed: set[str] = set()
--- a/src/caperridge/instance/gate.py
+++ b/src/caperridge/instance/gate.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from caperridge.decisions.fair_queue import FairQueue, Waiting
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.turn_rate import TurnRate
 from caperridge.instance.metrics import Metrics
 from caperridge.instance.online_request import OnlineRequest
@@ -71,7 +71,7 @@
     """
 
     def __init__(
-        self, book: TargetBook, metrics: Metrics, clock: Callable[[], float]
+        self, book: TargetPool, metrics: Metrics, clock: Callable[[], float]
     ) -> None:
         self._book = book
         self._metrics = metrics
@@ -92,9 +92,9 @@
         now = self._clock()
         gate = self._gates_by_service.setdefault(service.name, ServiceGate())
         free = not len(gate.queue) and not gate.waking
-        if free and self._book.has_room(service.name, service.most_running, now):
+        if free and self._book.has_capacity(service.name, service.most_running, now):
             return None
-        if not self._book.any_usable(service.name):
+        if not self._book.has_usable(service.name):
             return self._no_target(service.name)
         away = self._too_long(gate, request, now)
         if away is not None:
@@ -148,7 +148,7 @@
             if waiting.deadline <= now:
                 gate.queue.remove(waiting)
                 _settle(waiting, _too_late(gate, now))
-            elif not self._book.any_usable(service.name):
+            elif not self._book.has_usable(service.name):
                 gate.queue.remove(waiting)
                 _settle(waiting, self._no_target(service.name))
         waited_s = self._clock() - began
@@ -171,7 +171,7 @@
         if gate is None or gate.waking or not len(gate.queue):
             return
         now = self._clock()
-        if not self._book.has_room(service, most_running, now):
+        if not self._book.has_capacity(service, most_running, now):
             return
         best, late = gate.queue.pop(now)
         for waiting in late:
--- a/src/caperridge/instance/online.py
+++ b/src/caperridge/instance/online.py
@@ -9,7 +9,7 @@
 from caperridge.config.model import Caller, Configuration
 from caperridge.decisions.limit_share import Seat
 from caperridge.decisions.limits import CONCURRENCY_LIMIT, Limits
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.target_state import TargetReport
 from caperridge.instance.attempts import Attempts
 from caperridge.instance.gate import Gate
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetPool,
         engines: EngineClient,
         traces: Traces,
         metrics: Metrics,
@@ -187,13 +187,13 @@
             state = self.book.states_by_id.get(target)
             if state is None or state.member.incarnation != incarnation:
                 continue
-            self.book.report(target, TargetReport(waiting, online, at=now))
+            self.book.record_report(target, TargetReport(waiting, online, at=now))
 
     def state(self) -> dict[str, Any]:
         """Return what is queued, limited and learnt, for the dump."""
         return {
             "waiting_by_service": self.gate.waiting(),
             "callers_tracked": len(self.limits.states_by_caller),
-            "prefixes_known": len(self.book.history),
+            "prefixes_known": len(self.book.prefix_index),
             "policies": self.attempts.state(),
         }
--- a/src/caperridge/instance/online_news.py
+++ b/src/caperridge/instance/online_news.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.instance.actor import Actor
 from caperridge.instance.batch_streams import BatchStreams
 from caperridge.instance.messages import OnlineLoad
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetPool,
         membership: Membership,
         streams: BatchStreams,
         peers: Peers,
--- a/src/caperridge/instance/peer_news.py
+++ b/src/caperridge/instance/peer_news.py
@@ -5,7 +5,7 @@
 
 from caperridge.decisions.jobs import CANCELLED
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.instance.batch_streams import BatchStreams
 from caperridge.instance.messages import JobsChanged
 from caperridge.peers.interface import PeerListener, Peers
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        books: list[TargetBook],
+        books: list[TargetPool],
         streams: BatchStreams,
         jobs_changed: Callable[[JobsChanged], object],
         membership: Membership,
--- a/src/caperridge/instance/plain_calls.py
+++ b/src/caperridge/instance/plain_calls.py
@@ -15,7 +15,7 @@
     Move,
 )
 from caperridge.decisions.retry_budget import RetryBudget
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.instance.messages import OnlineLoad
 from caperridge.instance.plain_headers import target_word, towards_target
 from caperridge.instance.traces import Trace, Traces
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetPool,
         client: PlainClient,
         traces: Traces,
         leaving: Callable[[str], object],
@@ -128,7 +128,7 @@
         excluded: set[str] = set()
         refusal: PlainAnswer | None = None
         while True:
-            weighed = self._book.weigh(service.name, excluded, now=self._clock())
+            weighed = self._book.rank(service.name, excluded, now=self._clock())
             if not weighed and refusal is not None:
                 # The service is overloaded; its own word says more than ours.
                 return refusal
@@ -152,12 +152,12 @@
         self, target: str, call: PlainCall
     ) -> Result[PlainAnswer, PlainError]:
         state = self._book.states_by_id[target]
-        self._book.started(target)
+        self._book.record_start(target)
         self._load_changed(OnlineLoad(target, state.in_flight))
         try:
             return await self.client.call(state.member.address, call)
         finally:
-            self._book.ended(target)
+            self._book.record_finish(target)
             self._load_changed(OnlineLoad(target, state.in_flight))
 
     def _judge(
@@ -169,10 +169,10 @@
         if isinstance(outcome, Err):
             error = outcome.err_value
             if not isinstance(error, AnswerTooLarge):
-                self._book.failed(target, error, self._clock())
+                self._book.record_failure(target, error, self._clock())
             return _judge_error(course, error)
         answer = outcome.ok_value
-        self._book.succeeded(target, self._clock())
+        self._book.record_success(target, self._clock())
         word = target_word(answer.status, answer.body)
         if word.leaving:
             self._leaving(target)
--- a/src/caperridge/instance/process.py
+++ b/src/caperridge/instance/process.py
@@ -8,7 +8,7 @@
 
 from caperridge.decisions.limit_share import Seat, seat_of
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.elapsed import elapsed_s
 from caperridge.instance.authentication import Authentication
 from caperridge.instance.batch_streams import BatchStreams
@@ -125,7 +125,7 @@
         self._plain_client = PlainClient()
         # Instances differ in the seed, so that they do not choose in step.
         seed = zlib.crc32(settings.instance_id.encode())
-        book = TargetBook(settings.availability_zone, seed)
+        book = TargetPool(settings.availability_zone, seed)
         self.session = SessionKeeper(
             self.platform, settings.instance_id, settings.lease_s, clock
         )
@@ -267,7 +267,7 @@
             service = services_by_name.get(state.member.service)
             if service is not None and book.closed_to_online(target_id, service):
                 closed.add(target_id)
-        self.online.book.close(closed)
+        self.online.book.set_closed(closed)
         self.streams.close({t for t in closed if book.closed_to_batch(t)})
 
     def _seat(self) -> Seat:
--- a/src/caperridge/instance/target_reports.py
+++ b/src/caperridge/instance/target_reports.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.target_state import TargetReport, TargetState
 from caperridge.instance.actor import Actor
 from caperridge.peers.messages import LoadNews
@@ -61,7 +61,7 @@
     def __init__(
         self,
         membership: Membership,
-        book: TargetBook,
+        book: TargetPool,
         engines: EngineClient,
         online: Callable[[str], int],
         target_leaving: Callable[[str], None],
@@ -130,7 +130,7 @@
         if polled is None or polled.waiting is None:
             return None
         online = self._online(member.id)
-        self._book.report(
+        self._book.record_report(
             member.id,
             TargetReport(
                 polled.waiting,
@@ -161,4 +161,4 @@
             return
         polled.after = max(number for number, _ in events)
         blocks = [block for _, block in events[-MOST_EVENTS:]]
-        self._book.history.note(state.member.id, blocks)
+        self._book.prefix_index.record(state.member.id, blocks)
--- a/src/caperridge/measure/control_fleet.py
+++ b/src/caperridge/measure/control_fleet.py
@@ -175,10 +175,10 @@
         if len(active) < MOST_IN_FLIGHT:
             target = self._random.choice(runners)
             active.append(target)
-            book.started(target)
+            book.record_start(target)
         else:
             target = active.popleft()
-            book.ended(target)
+            book.record_finish(target)
             seen = SEEN
         state = book.states_by_id.get(target)
         if state is not None:
--- a/src/caperridge/measure/roles.py
+++ b/src/caperridge/measure/roles.py
@@ -19,7 +19,7 @@
 
 from caperridge.config.declarations import parse
 from caperridge.config.model import Caller, Configuration
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.instance.process import Instance
 from caperridge.keys import token_digest
 from caperridge.measure.options import Options
@@ -259,8 +259,8 @@
     rows: list[dict[str, Any]] = []
     for count in TARGETS[1:]:
 
-        def fill(count: int = count) -> TargetBook:
-            book = TargetBook(ZONE)
+        def fill(count: int = count) -> TargetPool:
+            book = TargetPool(ZONE)
             book.apply_list(target_members(count))
             return book
 
--- a/src/caperridge/measure/routing.py
+++ b/src/caperridge/measure/routing.py
@@ -13,8 +13,8 @@
 
 from caperridge.decisions.affinity import BLOCK_TOKENS, prefix_blocks, prompt_tokens
 from caperridge.decisions.patience import first_event_patience
-from caperridge.decisions.routing import TargetBook
-from caperridge.decisions.target_state import TargetReport, Wanted
+from caperridge.decisions.routing import TargetPool
+from caperridge.decisions.target_state import RequestProfile, TargetReport
 from caperridge.measure.admission import admission
 from caperridge.measure.options import Options
 from caperridge.measure.samples import quantile
@@ -162,7 +162,7 @@
         ]
         scan = 0 if arm.random_own_zone else SCAN_ALL
         self._books = [
-            TargetBook("a", seed * 1000 + n, arm.random_own_zone, scan)
+            TargetPool("a", seed * 1000 + n, arm.random_own_zone, scan)
             for n in range(instances)
         ]
         for book in self._books:
@@ -179,7 +179,7 @@
     def run(self, requests: int, warm: int) -> Figures:
         """Run and return the figures of the requests after the first ``warm``."""
         now, report_at = 0.0, 0.0
-        ends: list[tuple[float, int, str, TargetBook]] = []
+        ends: list[tuple[float, int, str, TargetPool]] = []
         families = self._random.choices(
             range(FAMILIES), self._weights, k=requests + warm
         )
@@ -187,7 +187,7 @@
             now += self._random.expovariate(self._rate)
             while ends and ends[0][0] <= now:
                 _, _, target, book = heapq.heappop(ends)
-                book.ended(target)
+                book.record_finish(target)
                 self._targets[target].ended(now)
             if now >= report_at:
                 report_at = now + REPORT_EVERY_S
@@ -204,7 +204,7 @@
             hit = _hit_tokens(state, blocks)
             first, end = state.run(now, tokens, blocks)
             state.in_flight += 1
-            book.started(target, blocks)
+            book.record_start(target, blocks)
             heapq.heappush(ends, (end, number, target, book))
             if number < warm:
                 continue
@@ -216,10 +216,10 @@
         return self.figures
 
     def _choose(
-        self, book: TargetBook, tokens: int, blocks: list[int], now: float
+        self, book: TargetPool, tokens: int, blocks: list[int], now: float
     ) -> str:
-        known = book.history.tokens_by_target(blocks) if self._arm.prefixes else {}
-        wanted = Wanted(tokens, known, most_running=MOST_RUNNING)
+        known = book.prefix_index.tokens_by_target(blocks) if self._arm.prefixes else {}
+        wanted = RequestProfile(tokens, known, most_running=MOST_RUNNING)
         home = blocks if self._arm.home else ()
         return book.choose("s", (), wanted, now, home)[0].target
 
@@ -230,7 +230,7 @@
             waiting = max(0, target.in_flight - MOST_RUNNING)
             for book in self._books:
                 report = TargetReport(waiting, target.in_flight, at=now)
-                book.report(name, report)
+                book.record_report(name, report)
 
 
 def _hit_tokens(target: SimTarget, blocks: list[int]) -> int:
--- a/tests/online/conftest.py
+++ b/tests/online/conftest.py
@@ -14,7 +14,7 @@
 from caperridge.config.model import Caller, Configuration, Model, Service
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.patience import Patience
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.instance.completions_http import CompletionsHttp
 from caperridge.instance.held_requests import HeldRequests
 from caperridge.instance.http_common import app_with_refusals
@@ -186,7 +186,7 @@
         self.team = Caller("heat", "0" * 64)
         self.traces = Traces()
         self.metrics = Metrics()
-        self.book = TargetBook("oviedo")
+        self.book = TargetPool("oviedo")
         self.online = OnlineFront(
             self.book,
             engines,
--- a/tests/online/test_fault_table.py
+++ b/tests/online/test_fault_table.py
@@ -180,7 +180,7 @@
     await front.ask(stream=False)
     assert front.leaving == ["a-faulty"]
     front.book.apply_list(front.members)  # the list still calls it live
-    assert [item.target for item in front.book.weigh("chat")] == ["b-good"]
+    assert [item.target for item in front.book.rank("chat")] == ["b-good"]
 
 
 async def test_a_refusal_that_holds_anywhere_remembers_an_earlier_attempt(
--- a/tests/online/test_policy_machine.py
+++ b/tests/online/test_policy_machine.py
@@ -22,8 +22,8 @@
 from caperridge.decisions.limit_share import Seat
 from caperridge.decisions.limits import BURST_S, Limits
 from caperridge.decisions.progress import MOST_ATTEMPTS, Progress
-from caperridge.decisions.routing import TargetBook
-from caperridge.decisions.target_state import TargetReport, Wanted
+from caperridge.decisions.routing import TargetPool
+from caperridge.decisions.target_state import RequestProfile, TargetReport
 from caperridge.refusals import NOT_RUN
 from caperridge.store.interface import ListedMember
 from caperridge.targets.outcomes import Lost, NotSent, TargetRefused, WrongAnswer
@@ -68,7 +68,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.book = TargetBook("oviedo", seed=1)
+        self.book = TargetPool("oviedo", seed=1)
         self.limits = Limits()
         self.queue = FairQueue(MOST_WAITING)
         self.members: dict[str, ListedMember] = {}
@@ -128,7 +128,7 @@
         self.pump()
 
     def has_room(self) -> bool:
-        return self.book.has_room("chat", MOST_RUNNING, self.now)
+        return self.book.has_capacity("chat", MOST_RUNNING, self.now)
 
     def pump(self) -> None:
         while self.has_room():
@@ -147,7 +147,7 @@
         weighed = self.book.choose(
             "chat",
             request.progress.excluded,
-            Wanted(most_running=MOST_RUNNING),
+            RequestProfile(most_running=MOST_RUNNING),
             self.now,
         )
         usable = [
@@ -162,7 +162,7 @@
             return
         assert weighed[0].target in usable
         request.target = weighed[0].target
-        self.book.started(request.target)
+        self.book.record_start(request.target)
         self.running.append(request)
 
     def end(self, request: Running, run: str | None = None) -> None:
@@ -179,8 +179,8 @@
             data.draw(st.integers(0, len(self.running) - 1), label="request")
         )
         request.runs += 1
-        self.book.ended(request.target)
-        self.book.succeeded(request.target, self.now)
+        self.book.record_finish(request.target)
+        self.book.record_success(request.target, self.now)
         self.end(request)
         self.pump()
 
@@ -204,8 +204,8 @@
         error, sent = FAILURES[how]
         request.bytes_left |= sent
         request.runs += sent
-        self.book.ended(request.target)
-        if self.book.failed(request.target, error, self.now):
+        self.book.record_finish(request.target)
+        if self.book.record_failure(request.target, error, self.now):
             self.check_floor()
         request.progress.failed(request.target, error, believes_not_run=True)
         if isinstance(error, TargetRefused) and error.leaving:
@@ -265,7 +265,7 @@
     @rule(name=st.sampled_from(TARGETS), online=st.integers(0, 6))
     def report_comes(self, name: str, online: int) -> None:
         name = self.known(name)
-        self.book.report(name, TargetReport(0, online, at=self.now))
+        self.book.record_report(name, TargetReport(0, online, at=self.now))
         self.pump()
 
     def known(self, name: str) -> str:
@@ -273,7 +273,7 @@
 
     def check_floor(self) -> None:
         usable = [s for s in self.book.states_by_id.values() if not s.leaving]
-        out = [s for s in usable if s.health.is_out(self.now)]
+        out = [s for s in usable if s.health.is_ejected(self.now)]
         assert len(out) <= len(usable) / 2
 
     @invariant()
--- a/tests/online/test_requests.py
+++ b/tests/online/test_requests.py
@@ -10,8 +10,8 @@
 from caperridge.decisions.limit_share import Seat, seat_of, share_at_once
 from caperridge.decisions.limits import Limits
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.routing import TargetBook
-from caperridge.decisions.target_state import TargetReport, Wanted
+from caperridge.decisions.routing import TargetPool
+from caperridge.decisions.target_state import RequestProfile, TargetReport
 from caperridge.decisions.turn_rate import TurnRate
 from caperridge.instance.target_reports import TargetReports
 from caperridge.instance.traces import Traces
@@ -192,46 +192,46 @@
 def test_a_silent_target_is_avoided_before_any_limit_runs_out(front: Front) -> None:
     for name in ("a", "b"):
         front.add(name, f"{name}:1")
-    front.book.started("a", now=10.0)
-    front.book.started("b", now=10.0)
-    front.book.started("b", now=10.0)
-    assert front.book.weigh("chat", now=10.0)[0].target == "a"
-    front.book.heard("b", 10.5)
-    assert front.book.weigh("chat", now=10.5)[0].target == "b"
-    front.book.heard("a", 10.5)
-    assert front.book.weigh("chat", now=10.5)[0].target == "a"
+    front.book.record_start("a", now=10.0)
+    front.book.record_start("b", now=10.0)
+    front.book.record_start("b", now=10.0)
+    assert front.book.rank("chat", now=10.0)[0].target == "a"
+    front.book.record_event("b", 10.5)
+    assert front.book.rank("chat", now=10.5)[0].target == "b"
+    front.book.record_event("a", 10.5)
+    assert front.book.rank("chat", now=10.5)[0].target == "a"
 
 
 def test_a_returned_target_is_spared_at_first(front: Front) -> None:
     for name in ("a", "b"):
         front.add(name, f"{name}:1")
-    assert front.book.failed("a", NotSent("x"), 10.0) == 1.0
-    front.book.started("b")
-    front.book.started("b")
-    assert [item.target for item in front.book.weigh("chat", now=10.5)] == ["b"]
-    assert front.book.weigh("chat", now=11.1)[0].target == "b"
-    front.book.succeeded("a", 12.0)
-    assert front.book.weigh("chat", now=22.0)[0].target == "a"
+    assert front.book.record_failure("a", NotSent("x"), 10.0) == 1.0
+    front.book.record_start("b")
+    front.book.record_start("b")
+    assert [item.target for item in front.book.rank("chat", now=10.5)] == ["b"]
+    assert front.book.rank("chat", now=11.1)[0].target == "b"
+    front.book.record_success("a", 12.0)
+    assert front.book.rank("chat", now=22.0)[0].target == "a"
 
 
 @pytest.mark.parametrize(
     ("report", "wanted"),
     [
-        (TargetReport(version="1", at=10.0), Wanted(version="2")),
-        (TargetReport(adapters=["faces"], at=10.0), Wanted(adapter="tags")),
-        (TargetReport(waiting=9, at=10.0), Wanted()),
-        (TargetReport(online=9, at=10.0), Wanted()),
+        (TargetReport(version="1", at=10.0), RequestProfile(version="2")),
+        (TargetReport(adapters=["faces"], at=10.0), RequestProfile(adapter="tags")),
+        (TargetReport(waiting=9, at=10.0), RequestProfile()),
+        (TargetReport(online=9, at=10.0), RequestProfile()),
     ],
     ids=["version", "adapter", "waiting", "load of others"],
 )
 def test_a_report_counts_against_a_target(
-    front: Front, report: TargetReport, wanted: Wanted
+    front: Front, report: TargetReport, wanted: RequestProfile
 ) -> None:
     for name in ("a", "b"):
         front.add(name, f"{name}:1")
-    assert front.book.weigh("chat", (), wanted, 10.0)[0].target == "a"
-    front.book.report("a", report)
-    assert front.book.weigh("chat", (), wanted, 10.0)[0].target == "b"
+    assert front.book.rank("chat", (), wanted, 10.0)[0].target == "a"
+    front.book.record_report("a", report)
+    assert front.book.rank("chat", (), wanted, 10.0)[0].target == "b"
 
 
 def test_cache_events_correct_the_own_history(front: Front) -> None:
@@ -239,12 +239,14 @@
         front.add(name, f"{name}:1")
     blocks = prefix_blocks("the log of substation 17 " * 20)
     assert blocks == standin_blocks("the log of substation 17 " * 20)
-    front.book.started("a", blocks[:2])
-    front.book.history.note("b", blocks[1:])  # the event of the first block was lost
-    known = front.book.history.tokens_by_target(blocks)
+    front.book.record_start("a", blocks[:2])
+    front.book.prefix_index.record(
+        "b", blocks[1:]
+    )  # the event of the first block was lost
+    known = front.book.prefix_index.tokens_by_target(blocks)
     assert known == {"a": 2 * BLOCK_TOKENS}
-    front.book.history.note("b", blocks[:1])
-    known = front.book.history.tokens_by_target(blocks)
+    front.book.prefix_index.record("b", blocks[:1])
+    known = front.book.prefix_index.tokens_by_target(blocks)
     assert known["b"] == len(blocks) * BLOCK_TOKENS
 
 
@@ -277,7 +279,7 @@
     front.add("good", address)
     prompt = "the log of substation 17 " * 20
     await front.ask(stream=False, prompt=prompt)
-    front.book.history.forget("good")
+    front.book.prefix_index.remove_target("good")
     news: list[LoadNews] = []
     reports = TargetReports(
         Membership("entry-1", "oviedo"),
@@ -293,7 +295,7 @@
     await reports.idle()
     assert news[0].loads == [["good", 1, 0, 3]]
     assert front.book.states_by_id["good"].report.online == 3
-    assert front.book.history.tokens_by_target(prefix_blocks(prompt))["good"] > 0
+    assert front.book.prefix_index.tokens_by_target(prefix_blocks(prompt))["good"] > 0
     assert front.leaving == ["good"]
     front.book.states_by_id["good"].report = None
     front.online.loads_told(news[0])
@@ -301,7 +303,7 @@
 
 
 def test_a_cached_prefix_does_not_open_a_closed_or_leaving_target() -> None:
-    book = TargetBook("oviedo", scan_up_to=0)
+    book = TargetPool("oviedo", full_scan_max=0)
     names = ("a", "b", "c")
     book.apply_list(
         ListedMember(name, "target", f"{name}:1", "oviedo", service="chat")
@@ -309,10 +311,10 @@
     )
     blocks = prefix_blocks("the log of substation 17 " * 20)
     for name in ("a", "b"):
-        book.history.note(name, blocks)
-    book.close({"a"})
+        book.prefix_index.record(name, blocks)
+    book.set_closed({"a"})
     book.mark_leaving("b")
-    wanted = Wanted(100, book.history.tokens_by_target(blocks))
+    wanted = RequestProfile(100, book.prefix_index.tokens_by_target(blocks))
     for _ in range(20):
         weighed = book.choose("chat", (), wanted, 10.0, blocks)
         assert [item.target for item in weighed] == ["c"]
@@ -321,29 +323,29 @@
 def test_what_may_hang_is_no_room_for_the_queue(front: Front) -> None:
     front.add("a", "a:1")
     book, state = front.book, front.book.states_by_id["a"]
-    book.started("a", now=10.0)
-    assert book.has_room("chat", 4, 10.4)
-    assert not book.has_room("chat", 4, 10.6)  # nothing came from it
-    book.heard("a", 10.6)
-    assert book.has_room("chat", 4, 10.6)
-    book.ended("a")
+    book.record_start("a", now=10.0)
+    assert book.has_capacity("chat", 4, 10.4)
+    assert not book.has_capacity("chat", 4, 10.6)  # nothing came from it
+    book.record_event("a", 10.6)
+    assert book.has_capacity("chat", 4, 10.6)
+    book.record_finish("a")
     state.health.strikes = 3
     state.health.eject(10.6)
-    assert book.has_room("chat", 4, 12.0)  # one may try it
-    book.started("a", now=12.0)
-    assert not book.has_room("chat", 4, 12.0)
-    book.succeeded("a", 12.1)
-    assert book.has_room("chat", 4, 12.1)
+    assert book.has_capacity("chat", 4, 12.0)  # one may try it
+    book.record_start("a", now=12.0)
+    assert not book.has_capacity("chat", 4, 12.0)
+    book.record_success("a", 12.1)
+    assert book.has_capacity("chat", 4, 12.1)
 
 
 def test_a_target_with_room_goes_before_a_full_one(front: Front) -> None:
     for name in ("a", "b"):
         front.add(name, f"{name}:1")
     for _ in range(5):
-        front.book.started("a", now=10.0)
-    front.book.states_by_id["b"].first_token_seen(5.0, 10.0)
-    wanted = Wanted(most_running=4)
-    assert front.book.weigh("chat", (), wanted, 10.0)[0].target == "b"
+        front.book.record_start("a", now=10.0)
+    front.book.states_by_id["b"].record_first_token(5.0, 10.0)
+    wanted = RequestProfile(most_running=4)
+    assert front.book.rank("chat", (), wanted, 10.0)[0].target == "b"
 
 
 async def test_a_retry_waits_for_room_like_any_other_request(
@@ -353,7 +355,7 @@
     front.add("b-good", good[1])
     front.book.states_by_id["a-hung"].health.strikes = 1  # the next one ejects it
     for _ in range(8):
-        front.book.started("b-good")  # full, with what nobody ends
+        front.book.record_start("b-good")  # full, with what nobody ends
     front.headers["X-Deadline-Ms"] = "800"
     answer = await front.ask(stream=False)
     assert (answer.status, answer.error["run"]) == (429, "unknown")
--- a/tests/orders/test_switch_under_load.py
+++ b/tests/orders/test_switch_under_load.py
@@ -39,4 +39,4 @@
     assert answers
     assert [refused for refused in answers if refused != (200, None)] == []
     assert sum(engine.cut_by_load for engine in engines) == 0
-    assert fleet.instance.online.book.any_usable("chat")
+    assert fleet.instance.online.book.has_usable("chat")
--- a/tests/peers/test_news.py
+++ b/tests/peers/test_news.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.instance.members import POLL_S, MembersReader
 from caperridge.instance.messages import JobsChanged, MembersListed
 from caperridge.instance.peer_news import PeerNews
@@ -160,12 +160,12 @@
         self.gone.append(sender)
 
 
-def news_of(owner: str) -> tuple[PeerNews, Loads, Recorder, list[Any], TargetBook]:
+def news_of(owner: str) -> tuple[PeerNews, Loads, Recorder, list[Any], TargetPool]:
     view = Membership("a", ZONE)
     others = [ListedMember(i, "instance", "h:1", ZONE) for i in ("a", "b")]
     view.apply_list(others)
     keys = [f"r-{n}" for n in range(30) if view.owner(f"r-{n}", ZONE) == owner]
-    book = TargetBook(ZONE)
+    book = TargetPool(ZONE)
     book.apply_list([target(keys[0], incarnation=2)])
     loads, peers, jobs = Loads(), Recorder("b"), []
     news = PeerNews([book], loads, jobs.append, view, peers)
