--- a/src/caperridge/decisions/failure_detector.py
+++ b/src/caperridge/decisions/failure_detector.py
@@ -14,16 +14,16 @@
 SUSPECT = "suspect"
 DEAD = "dead"
 JOINING = "joining"
-COUNTED = (LIVE, SUSPECT)
+COUNTED_STATES = (LIVE, SUSPECT)
 
-SUSPECT_S = 3.0
-REMOVE_S = 3.0
-PAUSE_S = 2.0
-STEADY_S = 2.0
-MOST_STEADY_S = 60.0
-CALM_S = 300.0
-FORGET_S = 3600.0
-ALONE_S = SUSPECT_S + REMOVE_S
+SUSPECT_TIMEOUT_S = 3.0
+REMOVE_TIMEOUT_S = 3.0
+PAUSE_THRESHOLD_S = 2.0
+REJOIN_DELAY_S = 2.0
+MAX_REJOIN_DELAY_S = 60.0
+REMOVALS_RESET_S = 300.0
+RETENTION_S = 3600.0
+MAX_RECOVERY_S = SUSPECT_TIMEOUT_S + REMOVE_TIMEOUT_S
 
 
 class Evidence(Record):
@@ -89,9 +89,9 @@
         self.removals = removals
 
     @property
-    def counted(self) -> bool:
+    def counts_as_live(self) -> bool:
         """Whether it counts as a live member."""
-        return self.state in COUNTED and not self.leaving
+        return self.state in COUNTED_STATES and not self.leaving
 
 
 class FailureDetector:
@@ -99,18 +99,18 @@
 
     def __init__(self) -> None:
         self.health_by_id: dict[str, PeerHealth] = {}
-        self.held_back = False
+        self.recovering = False
         self.pauses = 0
         self._ticked_at: float | None = None
         self._resumed_at = 0.0
 
-    def heard(self, evidence: Evidence, now: float) -> bool:
+    def record_evidence(self, evidence: Evidence, now: float) -> bool:
         """Take in evidence of life; return whether it was new."""
         health = self.health_by_id.get(evidence.instance)
         if health is None:
             health = PeerHealth(evidence.incarnation, evidence.sequence, LIVE, now, now)
             self.health_by_id[evidence.instance] = health
-        elif not _newer(evidence, health):
+        elif not _is_newer(evidence, health):
             return False
         if evidence.incarnation > health.incarnation:
             health.incarnation = evidence.incarnation
@@ -118,41 +118,41 @@
         health.sequence = evidence.sequence
         health.leaving = health.leaving or evidence.leaving
         health.heard_at = now
-        self.held_back = False
+        self.recovering = False
         if health.state == SUSPECT:
-            _enter(health, LIVE, now)
+            _set_state(health, LIVE, now)
         if health.state == DEAD:
-            _enter(health, JOINING, now)
+            _set_state(health, JOINING, now)
         return True
 
-    def lost(self, instance: str, now: float) -> None:
+    def suspect(self, instance: str, now: float) -> None:
         """Suspect a peer at once, as its stream has ended."""
         health = self.health_by_id.get(instance)
         if health is not None and health.state == LIVE:
-            _enter(health, SUSPECT, now)
+            _set_state(health, SUSPECT, now)
 
     def tick(self, now: float) -> list[str]:
         """Let time pass; return the peers that were removed."""
-        self._notice_pause(now)
+        self._detect_pause(now)
         removed: list[str] = []
         for instance, health in list(self.health_by_id.items()):
             silent_s = now - health.heard_at
             in_state_s = now - health.since
             if health.state == LIVE:
-                if silent_s >= SUSPECT_S:
-                    _enter(health, SUSPECT, now)
-                elif in_state_s >= CALM_S:
+                if silent_s >= SUSPECT_TIMEOUT_S:
+                    _set_state(health, SUSPECT, now)
+                elif in_state_s >= REMOVALS_RESET_S:
                     health.removals = 0
                 continue
-            if health.state == SUSPECT and in_state_s >= REMOVE_S:
+            if health.state == SUSPECT and in_state_s >= REMOVE_TIMEOUT_S:
                 health.removals += 1
-                _enter(health, DEAD, now)
+                _set_state(health, DEAD, now)
                 removed.append(instance)
                 continue
             if health.state == JOINING:
-                _judge_joining(health, now)
+                _update_joining(health, now)
                 continue
-            if health.state == DEAD and in_state_s >= FORGET_S:
+            if health.state == DEAD and in_state_s >= RETENTION_S:
                 del self.health_by_id[instance]
         return removed
 
@@ -169,39 +169,39 @@
         health = self.health_by_id.get(instance)
         return 0 if health is None else health.incarnation
 
-    def _notice_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         before, self._ticked_at = self._ticked_at, now
         if before is None:
             return
         gap = now - before
-        if gap < PAUSE_S:
-            if self.held_back and now - self._resumed_at >= ALONE_S:
-                self.held_back = False
+        if gap < PAUSE_THRESHOLD_S:
+            if self.recovering and now - self._resumed_at >= MAX_RECOVERY_S:
+                self.recovering = False
             return
         # The silence was our own: nobody is to be blamed for it.
         self.pauses += 1
-        self.held_back = True
+        self.recovering = True
         self._resumed_at = now
         for health in self.health_by_id.values():
             health.heard_at = min(now, health.heard_at + gap)
             health.since = min(now, health.since + gap)
 
 
-def _newer(evidence: Evidence, health: PeerHealth) -> bool:
+def _is_newer(evidence: Evidence, health: PeerHealth) -> bool:
     known = (health.incarnation, health.sequence)
     return (evidence.incarnation, evidence.sequence) > known
 
 
-def _enter(health: PeerHealth, state: str, now: float) -> None:
+def _set_state(health: PeerHealth, state: str, now: float) -> None:
     health.state = state
     health.since = now
 
 
-def _judge_joining(health: PeerHealth, now: float) -> None:
+def _update_joining(health: PeerHealth, now: float) -> None:
     """Count a returned peer again once it was steady, or give it up again."""
-    if now - health.heard_at >= SUSPECT_S:
-        _enter(health, DEAD, now)
+    if now - health.heard_at >= SUSPECT_TIMEOUT_S:
+        _set_state(health, DEAD, now)
         return
-    needed_s = min(MOST_STEADY_S, STEADY_S * 2 ** (health.removals - 1))
+    needed_s = min(MAX_REJOIN_DELAY_S, REJOIN_DELAY_S * 2 ** (health.removals - 1))
     if now - health.since >= needed_s:
-        _enter(health, LIVE, now)
+        _set_state(health, LIVE, now)
--- a/src/caperridge/decisions/headroom.py
+++ b/src/caperridge/decisions/headroom.py
@@ -10,28 +10,28 @@
 from typing import Any
 
 from caperridge.decisions.batch_share import most_streams
-from caperridge.decisions.preemption import BatchStream, first_to_go
-from caperridge.decisions.runner_headroom import PEERS_KEEP_S, RunnerHeadroom
+from caperridge.decisions.preemption import BatchStream, preemption_victims
+from caperridge.decisions.runner_headroom import PEER_RESERVE_S, RunnerHeadroom
 from caperridge.records import Record
 
-__all__ = ["PEERS_KEEP_S", "SETTLE_S", "BatchStream", "Headroom", "RunnerHeadroom"]
+__all__ = ["PEER_RESERVE_S", "SETTLE_S", "BatchStream", "Headroom", "RunnerHeadroom"]
 
 SETTLE_S = 2.0
 REACTION_WEIGHT = 0.2
-LEAST_PAUSE_S = 0.005
+MIN_PAUSE_S = 0.005
 MOST_ROUNDS = 4  # a target is filled in about so many, one for each step
 ROUNDS_SPAN = 3  # fewer rounds the more the trade is for throughput
 MOST_FREE = 0.125  # of a target, where the trade is all for the online tail
 
 
-class Starts(Record):
+class StartDecision(Record):
     """How many streams to start now, and in how long to ask again."""
 
-    __slots__ = ("again_s", "count")
+    __slots__ = ("count", "retry_delay_s")
 
-    def __init__(self, count: int, again_s: float) -> None:
+    def __init__(self, count: int, retry_delay_s: float) -> None:
         self.count = count
-        self.again_s = again_s
+        self.retry_delay_s = retry_delay_s
 
 
 class Headroom:
@@ -58,23 +58,23 @@
             self._runners_by_target[target] = runner
         return runner
 
-    def gained(self, target: str, now: float, alone: bool = False) -> None:
+    def acquire_target(self, target: str, now: float, alone: bool = False) -> None:
         """Become the dispatcher of ``target``; ``alone``: no other instance lives."""
         runner = self.runner(target)
         runner.owned_since = now - self._settle_s if alone else now
         runner.peers = not alone
-        runner.peers_until = now + PEERS_KEEP_S
+        runner.peers_until = now + PEER_RESERVE_S
 
-    def peers_changed(self, alone: bool) -> None:
+    def update_peers(self, alone: bool) -> None:
         """Note whether other instances live, whose news comes with a delay."""
         for runner in self._runners_by_target.values():
             runner.peers = not alone
 
-    def lost(self, target: str) -> None:
+    def release_target(self, target: str) -> None:
         """No longer be the dispatcher of ``target``: what is known goes stale."""
         self._runners_by_target.pop(target, None)
 
-    def online_changed(
+    def update_online(
         self, target: str, sender: str, in_flight: int, now: float, sequence: int = 0
     ) -> bool:
         """Note the online requests that ``sender`` has at ``target``.
@@ -83,21 +83,21 @@
             Whether the news was newer than what was known.
         """
         runner = self.runner(target)
-        if not runner.counts.changed(sender, in_flight, sequence, now):
+        if not runner.counts.update(sender, in_flight, sequence, now):
             return False
         if sequence > 0:
             runner.peers = True
         if sequence > 0 and in_flight > 0:
-            runner.peers_until = now + PEERS_KEEP_S
+            runner.peers_until = now + PEER_RESERVE_S
         runner.online(now)
         return True
 
-    def sender_gone(self, sender: str) -> None:
+    def remove_sender(self, sender: str) -> None:
         """Forget what an instance that is no longer live had in flight."""
         for runner in self._runners_by_target.values():
-            runner.counts.gone(sender)
+            runner.counts.remove(sender)
 
-    def step_seen(self, target: str, batch: int, step_s: float, now: float) -> None:
+    def record_step(self, target: str, batch: int, step_s: float, now: float) -> None:
         """Note the time between two tokens of one stream at ``target``.
 
         Args:
@@ -109,7 +109,7 @@
         runner = self.runner(target)
         runner.steps.observe(runner.online(now) + batch, step_s, now)
 
-    def first_token_seen(self, target: str, first_token_s: float, now: float) -> None:
+    def record_first_token(self, target: str, first_token_s: float, now: float) -> None:
         """Note the time to the first token of an online request at ``target``."""
         runner = self.runner(target)
         line = runner.steps.line(now)
@@ -117,7 +117,7 @@
             step_s = line.at(runner.online(now))
             runner.guard.seen(first_token_s, step_s, now)
 
-    def reaction_seen(self, target: str, reaction_s: float) -> None:
+    def record_reaction(self, target: str, reaction_s: float) -> None:
         """Note how long it took until a preempted slot was free."""
         runner = self.runner(target)
         runner.reaction_s += REACTION_WEIGHT * (reaction_s - runner.reaction_s)
@@ -160,7 +160,7 @@
         running: int,
         ending: int,
         now: float,
-    ) -> "Starts":
+    ) -> "StartDecision":
         """Return how many batch streams to start at ``target`` now.
 
         Prompts that are prefilled together make one long step for online callers,
@@ -178,21 +178,21 @@
             now: monotonic seconds.
         """
         staying = running - ending
-        step_s = max(LEAST_PAUSE_S, self.step_s(target, running, now))
+        step_s = max(MIN_PAUSE_S, self.step_s(target, running, now))
         room = self.startable(target, most_running, batch_weight, now) - staying
         runner = self.runner(target)
         pause_s = runner.pause_s(batch_weight, now)
         if room > 0 and pause_s > 0:
-            return Starts(0, max(LEAST_PAUSE_S, pause_s))
+            return StartDecision(0, max(MIN_PAUSE_S, pause_s))
         if room > 0:
             runner.filled_at = now
             rounds = MOST_ROUNDS - ROUNDS_SPAN * batch_weight
             quiet = runner.quiet(now)
             shared = most_running if quiet else room
-            return Starts(min(room, math.ceil(shared / rounds)), step_s)
+            return StartDecision(min(room, math.ceil(shared / rounds)), step_s)
         # A place that is only held comes free without any further event.
         held = self.allowed(target, most_running, batch_weight, now) > staying
-        return Starts(0, step_s if held else math.inf)
+        return StartDecision(0, step_s if held else math.inf)
 
     def to_preempt(
         self,
@@ -209,7 +209,7 @@
         """
         allowed = self.allowed(target, most_running, batch_weight, now)
         staying = [stream for stream in running if not stream.ending]
-        return first_to_go(staying, len(staying) - allowed)
+        return preemption_victims(staying, len(staying) - allowed)
 
     def state(self, now: float) -> dict[str, Any]:
         """Return what is known by target, for the dump."""
--- a/src/caperridge/decisions/heartbeats.py
+++ b/src/caperridge/decisions/heartbeats.py
@@ -10,8 +10,8 @@
 from caperridge.decisions.membership import Membership
 from caperridge.peers.messages import Heartbeat
 
-START_S = 10.0
-MOST_ASKED = 64
+STARTUP_S = 10.0
+MAX_QUERIED = 64
 
 
 class Heartbeats:
@@ -30,16 +30,16 @@
         self._membership = membership
         self._started_at = started_at
         self._sequence = 0
-        self._asked: set[str] = set()
+        self._queried: set[str] = set()
 
     def next(self, configuration_version: int = 0) -> Heartbeat:
         """Return the next heartbeat, for every peer."""
         self._sequence += 1
-        heartbeat = self.repeated(configuration_version)
-        self._asked.clear()
+        heartbeat = self.latest(configuration_version)
+        self._queried.clear()
         return heartbeat
 
-    def repeated(self, configuration_version: int = 0) -> Heartbeat:
+    def latest(self, configuration_version: int = 0) -> Heartbeat:
         """Return the last heartbeat again, for a peer that was not there."""
         return Heartbeat(
             self._membership.instance,
@@ -50,7 +50,7 @@
             self._rumours(),
         )
 
-    def take(self, heartbeat: Heartbeat, availability_zone: str, now: float) -> None:
+    def receive(self, heartbeat: Heartbeat, availability_zone: str, now: float) -> None:
         """Take in the heartbeat of a peer that runs in ``availability_zone``."""
         evidence = Evidence(
             heartbeat.instance,
@@ -58,33 +58,33 @@
             heartbeat.sequence,
             heartbeat.leaving,
         )
-        self._membership.heard(evidence, availability_zone, now)
+        self._membership.record_evidence(evidence, availability_zone, now)
         for rumour in heartbeat.rumours:
-            self._take_rumour(*rumour[:4], now=now)
+            self._receive_rumour(*rumour[:4], now=now)
 
-    def check_own(self, known: int, now: float) -> None:
+    def check_own_incarnation(self, known: int, now: float) -> None:
         """Go above a predecessor's incarnation, or give way to a successor's."""
         if known <= self.incarnation or self._membership.superseded:
             return
-        if now - self._started_at < START_S:
+        if now - self._started_at < STARTUP_S:
             self.incarnation = known + 1
             return
         self._membership.supersede()
 
-    def _take_rumour(
+    def _receive_rumour(
         self, instance: str, incarnation: int, state: str, sequence: int, now: float
     ) -> None:
         if instance == self._membership.instance:
-            self.check_own(incarnation, now)
+            self.check_own_incarnation(incarnation, now)
             return
         if state == SUSPECT:
-            if len(self._asked) < MOST_ASKED:
-                self._asked.add(instance)
+            if len(self._queried) < MAX_QUERIED:
+                self._queried.add(instance)
             return
         if state == LIVE:
             zone = self._membership.zone_of(instance)
             evidence = Evidence(instance, incarnation, sequence)
-            self._membership.heard(evidence, zone, now)
+            self._membership.record_evidence(evidence, zone, now)
 
     def _rumours(self) -> list[list[str | int]]:
         detector = self._membership.detector
@@ -92,7 +92,7 @@
         for instance in detector.suspects():
             health = detector.health_by_id[instance]
             rumours.append([instance, health.incarnation, SUSPECT, health.sequence])
-        for instance in sorted(self._asked):
+        for instance in sorted(self._queried):
             health = detector.health_by_id.get(instance)
             if health is not None and health.state == LIVE and not health.leaving:
                 rumours.append([instance, health.incarnation, LIVE, health.sequence])
--- a/src/caperridge/decisions/membership.py
+++ b/src/caperridge/decisions/membership.py
@@ -17,11 +17,11 @@
 from caperridge.decisions.rendezvous import owner
 from caperridge.store.interface import ListedMember
 
-LISTED_GRACE_S = 10.0
-UNLISTED_S = 300.0
-ELSEWHERE_S = 30.0
-REFRESH_S = 1.0
-MOST_CACHED_OWNERS = 20_000
+LISTED_GRACE_PERIOD_S = 10.0
+UNLISTED_RETENTION_S = 300.0
+OTHER_ZONE_SILENCE_S = 30.0
+REFRESH_INTERVAL_S = 1.0
+MAX_CACHED_OWNERS = 20_000
 LEAVING = "leaving"
 
 
@@ -70,12 +70,14 @@
                 self._left_by_id.pop(instance, None)
         self._refresh()
 
-    def heard(self, evidence: Evidence, availability_zone: str, now: float) -> bool:
+    def record_evidence(
+        self, evidence: Evidence, availability_zone: str, now: float
+    ) -> bool:
         """Take in evidence that a peer lives; return whether it was new."""
         self._now = now
         self.zones_by_id[evidence.instance] = availability_zone
-        was_held_back = self.detector.held_back
-        if not self.detector.heard(evidence, now):
+        was_held_back = self.detector.recovering
+        if not self.detector.record_evidence(evidence, now):
             return False
         instance = evidence.instance
         counted = instance in self.live(self.zone_of(instance))
@@ -83,19 +85,19 @@
             self._refresh()
         return True
 
-    def lost(self, instance: str, now: float) -> None:
+    def suspect(self, instance: str, now: float) -> None:
         """Suspect a peer whose stream has ended."""
         self._now = now
-        self.detector.lost(instance, now)
+        self.detector.suspect(instance, now)
 
     def tick(self, now: float) -> list[str]:
         """Let time pass; return the peers that were removed."""
         self._now = now
-        held_back = self.detector.held_back
+        held_back = self.detector.recovering
         removed = self.detector.tick(now)
-        if removed or held_back != self.detector.held_back or now >= self._refresh_due:
-            self._refresh_due = now + REFRESH_S
-            self._forget_unlisted()
+        if removed or held_back != self.detector.recovering or now >= self._refresh_due:
+            self._refresh_due = now + REFRESH_INTERVAL_S
+            self._expire_unlisted()
             self._refresh()
         return removed
 
@@ -112,7 +114,7 @@
     @property
     def steady(self) -> bool:
         """Whether this instance may take what rendezvous hashing gives it."""
-        return not (self.leaving or self.superseded or self.detector.held_back)
+        return not (self.leaving or self.superseded or self.detector.recovering)
 
     def live(self, availability_zone: str) -> list[str]:
         """Return the live instances of a zone, sorted; the own one if steady."""
@@ -132,13 +134,13 @@
             return self._owners_by_key[place]
         except KeyError:
             pass
-        if len(self._owners_by_key) >= MOST_CACHED_OWNERS:
+        if len(self._owners_by_key) >= MAX_CACHED_OWNERS:
             self._owners_by_key.clear()
         found = owner(key, self.live(availability_zone))
         self._owners_by_key[place] = found
         return found
 
-    def introduced(self, instance: str, availability_zone: str) -> None:
+    def add_introduced(self, instance: str, availability_zone: str) -> None:
         """Learn from a peer of an instance that is not listed yet."""
         if instance != self.instance and instance not in self.zones_by_id:
             self.zones_by_id[instance] = availability_zone
@@ -171,7 +173,7 @@
             heard = self.detector.known_incarnation(member.id)
             self._left_by_id[member.id] = (member.incarnation, heard)
 
-    def _forget_unlisted(self) -> None:
+    def _expire_unlisted(self) -> None:
         """Forget instances that are not listed and were not heard for long."""
         for instance in list(self.zones_by_id):
             if instance in self.members_by_id:
@@ -183,7 +185,7 @@
                 last_at = health.since
             else:
                 continue
-            if self._now - last_at >= UNLISTED_S:
+            if self._now - last_at >= UNLISTED_RETENTION_S:
                 del self.zones_by_id[instance]
                 self._introduced_at_by_id.pop(instance, None)
 
@@ -201,21 +203,21 @@
             return False
         health = self.detector.health_by_id.get(instance)
         elsewhere = self.zone_of(instance) != self.availability_zone
-        if health is not None and not (elsewhere and self._stale(health)):
-            return health.counted
+        if health is not None and not (elsewhere and self._is_stale(health)):
+            return health.counts_as_live
         if instance not in self.members_by_id:
             return False
         if elsewhere or not self.heartbeats:
             return True
-        return self._now - self._listed_at_by_id[instance] < LISTED_GRACE_S
+        return self._now - self._listed_at_by_id[instance] < LISTED_GRACE_PERIOD_S
 
-    def _stale(self, health: PeerHealth) -> bool:
+    def _is_stale(self, health: PeerHealth) -> bool:
         """Return whether silence from another zone says nothing any more.
 
         Only a few streams lead there and they move, so after a while the list, which
         lags but goes on, knows better.
         """
-        return health.state == DEAD and self._now - health.since >= ELSEWHERE_S
+        return health.state == DEAD and self._now - health.since >= OTHER_ZONE_SILENCE_S
 
     def _refresh(self) -> None:
         found_by_zone: dict[str, list[str]] = {}
--- a/src/caperridge/decisions/online_counts.py
+++ b/src/caperridge/decisions/online_counts.py
@@ -7,7 +7,9 @@
 
 from caperridge.records import Record
 
-EXPIRES_S = 3.5  # a little more than three repeats of the news, which come each second
+COUNT_TTL_S = (
+    3.5  # a little more than three repeats of the news, which come each second
+)
 
 
 class SenderCount(Record):
@@ -40,7 +42,7 @@
         self._total = 0
         self._next_expiry = float("inf")
 
-    def changed(
+    def update(
         self, sender: str, in_flight: int, sequence: int = 0, now: float = 0.0
     ) -> bool:
         """Take over a sender's count; return whether the news was new.
@@ -58,7 +60,7 @@
             if sequence and sequence <= known.sequence:
                 return False
             self._total -= known.in_flight
-        expires_at = now + EXPIRES_S if sequence else float("inf")
+        expires_at = now + COUNT_TTL_S if sequence else float("inf")
         # A zero is kept as well: its sequence number bars older news.
         count = SenderCount(in_flight, sequence, expires_at)
         self._counts_by_sender[sender] = count
@@ -66,7 +68,7 @@
         self._next_expiry = min(self._next_expiry, expires_at)
         return True
 
-    def gone(self, sender: str) -> None:
+    def remove(self, sender: str) -> None:
         """Forget a sender that is no longer live."""
         known = self._counts_by_sender.pop(sender, None)
         if known is not None:
@@ -87,6 +89,6 @@
         self._next_expiry = float("inf")
         for sender, count in list(self._counts_by_sender.items()):
             if count.expires_at <= now:
-                self.gone(sender)
+                self.remove(sender)
                 continue
             self._next_expiry = min(self._next_expiry, count.expires_at)
--- a/src/caperridge/decisions/preemption.py
+++ b/src/caperridge/decisions/preemption.py
@@ -9,7 +9,7 @@
 
 from caperridge.records import Record
 
-PROTECTED_AFTER = 3
+PROTECTION_THRESHOLD = 3
 
 
 class BatchStream(Record):
@@ -40,11 +40,11 @@
         self.ending = ending
 
 
-def first_to_go(running: Iterable[BatchStream], count: int) -> list[BatchStream]:
+def preemption_victims(running: Iterable[BatchStream], count: int) -> list[BatchStream]:
     """Return ``count`` streams to preempt, in the order in which they go.
 
     >>> streams = [BatchStream("old", "t", 9), BatchStream("new", "t", 1, 3)]
-    >>> [stream.attempt for stream in first_to_go(streams, 1)]
+    >>> [stream.attempt for stream in preemption_victims(streams, 1)]
     ['old']
     """
     if count <= 0:
@@ -53,7 +53,7 @@
 
 
 def _order(stream: BatchStream) -> tuple[bool, int, int, str]:
-    protected = stream.preemptions >= PROTECTED_AFTER
+    protected = stream.preemptions >= PROTECTION_THRESHOLD
     # Among the protected, who gave way least often goes first, and so on in turn.
     turns = stream.preemptions if protected else 0
     return protected, turns, stream.tokens, stream.attempt
--- a/src/caperridge/decisions/runner_headroom.py
+++ b/src/caperridge/decisions/runner_headroom.py
@@ -12,8 +12,8 @@
 MOST_HOLD_STEPS = 3.0
 HOLD_STEPS_SPAN = 2.0  # fewer steps the more the trade is for throughput
 MOST_PAUSE_STEPS = 2.0  # after an arrival; none where the trade is for throughput
-MOST_PUT_OFF_STEPS = 6.0
-PEERS_KEEP_S = 30.0  # places are kept so long after the last request of a peer
+MAX_DEFERRAL_STEPS = 6.0
+PEER_RESERVE_S = 30.0  # places are kept so long after the last request of a peer
 
 
 class RunnerHeadroom:
@@ -76,7 +76,7 @@
         without end must not keep batch out, so it is put off for some steps at most.
         """
         step_s = self.step_s(self.online(now), now)
-        if now - self.filled_at >= MOST_PUT_OFF_STEPS * step_s:
+        if now - self.filled_at >= MAX_DEFERRAL_STEPS * step_s:
             return 0.0
         pause_s = step_s * MOST_PAUSE_STEPS * (1 - batch_weight)
         return max(0.0, self.burst.arrived_at + pause_s - now)
--- a/src/caperridge/instance/batch_streams.py
+++ b/src/caperridge/instance/batch_streams.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from caperridge.config.model import Configuration, Service
-from caperridge.decisions.headroom import LEAST_PAUSE_S, BatchStream, Headroom
+from caperridge.decisions.headroom import MIN_PAUSE_S, BatchStream, Headroom
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.own_targets import OwnTargets
 from caperridge.decisions.routing import TargetPool
@@ -128,9 +128,9 @@
             sequence: rises with each news of a peer; 0 for this instance's own.
         """
         now = self._clock()
-        if self.headroom.online_changed(target, sender, in_flight, now, sequence):
+        if self.headroom.update_online(target, sender, in_flight, now, sequence):
             self._preempt(target, now)
-            self._wake.after(LEAST_PAUSE_S)
+            self._wake.after(MIN_PAUSE_S)
 
     def latency_seen(
         self, target: str, first_token_s: float, between_tokens_s: float
@@ -139,14 +139,14 @@
         now = self._clock()
         if between_tokens_s > 0:
             running = self._running.count(target)
-            self.headroom.step_seen(target, running, between_tokens_s, now)
+            self.headroom.record_step(target, running, between_tokens_s, now)
         if first_token_s > 0:
-            self.headroom.first_token_seen(target, first_token_s, now)
+            self.headroom.record_first_token(target, first_token_s, now)
             self._preempt(target, now)
 
     def sender_gone(self, sender: str) -> None:
         """Forget the online load of an instance that is no longer live."""
-        self.headroom.sender_gone(sender)
+        self.headroom.remove_sender(sender)
         self.fill()
 
     def fill(self) -> None:
@@ -168,7 +168,7 @@
                     due = self._fill_target(target, service, waiting, now)
                 soonest = min(soonest, due)
         if soonest < float("inf"):
-            self._wake.after(max(LEAST_PAUSE_S, soonest - now))
+            self._wake.after(max(MIN_PAUSE_S, soonest - now))
 
     def state(self) -> dict[str, Any]:
         """Return what runs and waits, for the dump."""
@@ -195,13 +195,13 @@
         alone = self.own.alone
         changes = self.own.refresh(self.book.states_by_id)
         for peer in changes.peers_gone:
-            self.headroom.sender_gone(peer)
+            self.headroom.remove_sender(peer)
         if alone != self.own.alone:
-            self.headroom.peers_changed(self.own.alone)
+            self.headroom.update_peers(self.own.alone)
         for target in changes.gained:
-            self.headroom.gained(target, now, self.own.alone)
+            self.headroom.acquire_target(target, now, self.own.alone)
         for target in changes.lost:
-            self.headroom.lost(target)
+            self.headroom.release_target(target)
             self._requeue_all(target)
 
     def _own_addresses(self) -> dict[str, str]:
@@ -265,8 +265,8 @@
         for _ in range(min(starts.count, len(waiting))):
             self._start(waiting.popleft(), target)
         if starts.count:
-            self._not_before_by_target[target] = now + starts.again_s
-        return now + starts.again_s
+            self._not_before_by_target[target] = now + starts.retry_delay_s
+        return now + starts.retry_delay_s
 
     def _start(self, work: ItemWork, target: str) -> None:
         if work.tokens_left == 0:
@@ -323,14 +323,14 @@
             beside = self.headroom.online(stream.target, now) + running
             if beside == last_beside:
                 step_s = (now - last_at) / len(events)
-                self.headroom.step_seen(stream.target, running, step_s, now)
+                self.headroom.record_step(stream.target, running, step_s, now)
             last_at, last_beside = now, beside
             stream.ending = work.tokens_left == 1
             if stream.ending:
-                self._wake.after(LEAST_PAUSE_S)
+                self._wake.after(MIN_PAUSE_S)
 
     def _reaction_seen(self, target: str, reaction_s: float) -> None:
-        self.headroom.reaction_seen(target, reaction_s)
+        self.headroom.record_reaction(target, reaction_s)
 
     def _stop(self, item: RunningItem) -> ItemWork:
         state = self.book.states_by_id.get(item.stream.target)
--- a/src/caperridge/instance/peers.py
+++ b/src/caperridge/instance/peers.py
@@ -155,7 +155,7 @@
     def introduce(self, instance: str, zone: str, address: str) -> None:
         """Note where an instance is that the platform does not list yet."""
         self._addresses_by_id.setdefault(instance, address)
-        self._membership.introduced(instance, zone)
+        self._membership.add_introduced(instance, zone)
 
     def introductions(self) -> list[list[str]]:
         """Return where the connected peers are that the platform does not list."""
@@ -211,7 +211,9 @@
     @handle.register
     async def _(self, message: Opened) -> None:
         stream = message.stream
-        self._heartbeats.check_own(stream.hello.known_incarnation, self._clock())
+        self._heartbeats.check_own_incarnation(
+            stream.hello.known_incarnation, self._clock()
+        )
         if not self._streams.add(stream):
             return
         self._dialer.reached(stream.instance, self._clock())
@@ -222,10 +224,12 @@
         run.add_done_callback(self._runs.discard)
         hello = stream.hello
         evidence = Evidence(hello.instance, hello.incarnation, 0)
-        self._membership.heard(evidence, hello.availability_zone, self._clock())
+        self._membership.record_evidence(
+            evidence, hello.availability_zone, self._clock()
+        )
         log.info("peer connected", peer=hello.instance, release=hello.release)
         version = self.configuration_version()
-        stream.send(self._short(self._heartbeats.repeated(version)))
+        stream.send(self._short(self._heartbeats.latest(version)))
         for listener in self._listeners:
             listener.opened(stream.instance)
 
@@ -236,7 +240,7 @@
         if not self._streams.drop(stream):
             return
         self._dialer.ended(stream.instance, self._clock())
-        self._membership.lost(stream.instance, self._clock())
+        self._membership.suspect(stream.instance, self._clock())
         log.info("peer disconnected", peer=stream.instance)
         for listener in self._listeners:
             listener.closed(stream.instance)
@@ -268,7 +272,7 @@
         message.incarnation = message.incarnation or hello.incarnation
         self.versions_by_id[hello.instance] = message.configuration_version
         self.version_heard(hello.instance, message.configuration_version)
-        self._heartbeats.take(message, hello.availability_zone, self._clock())
+        self._heartbeats.receive(message, hello.availability_zone, self._clock())
 
     async def idle(self) -> None:
         """Let time pass: heartbeats, suspicion, missing streams."""
--- a/src/caperridge/measure/modelled_runner.py
+++ b/src/caperridge/measure/modelled_runner.py
@@ -81,8 +81,8 @@
         self.shape = shape
         self.now = 0.0
         self.headroom = headroom or Headroom()
-        self.headroom.gained(TARGET, 0.0, alone=True)
-        self.headroom.peers_changed(alone=shape.news_s == 0)
+        self.headroom.acquire_target(TARGET, 0.0, alone=True)
+        self.headroom.update_peers(alone=shape.news_s == 0)
         self.engine = EngineModel(shape.costs)
         self.first_token = Latencies()
         self.between_tokens = Latencies()
@@ -151,7 +151,7 @@
     def _hear(self, news: tuple[int, int]) -> None:
         online, sequence = news
         self._known = online
-        self.headroom.online_changed(TARGET, SENDER, online, self.now, sequence)
+        self.headroom.update_online(TARGET, SENDER, online, self.now, sequence)
         if not self.shape.item_tokens:
             return
         streams = [stream for stream, _, _ in self._batch_by_attempt.values()]
@@ -171,7 +171,7 @@
 
     def _cancel(self, attempt: str) -> None:
         self.engine.cancel(attempt)
-        self.headroom.reaction_seen(TARGET, 2 * self.shape.order_s)
+        self.headroom.record_reaction(TARGET, 2 * self.shape.order_s)
 
     def _fill(self, _: None) -> None:
         if self.now < self._not_before:
@@ -190,9 +190,9 @@
         for _ in range(starts.count):
             self._start(self._waiting.pop(0) if self._waiting else self._new_item())
         if starts.count:
-            self._not_before = self.now + starts.again_s
-        if starts.again_s < self.shape.load.seconds:
-            self._at(self.now + starts.again_s, self._fill, None)
+            self._not_before = self.now + starts.retry_delay_s
+        if starts.retry_delay_s < self.shape.load.seconds:
+            self._at(self.now + starts.retry_delay_s, self._fill, None)
 
     def _new_item(self) -> Item:
         least, most = self.shape.item_tokens or (1, 1)
@@ -245,7 +245,7 @@
             self.batch_tokens += 1
             beside = self._known + batch
             if last and last[1] == beside:
-                self.headroom.step_seen(TARGET, batch, self.now - last[0], self.now)
+                self.headroom.record_step(TARGET, batch, self.now - last[0], self.now)
             last[:] = [self.now, beside]
             if attempt in finished:
                 del self._batch_by_attempt[attempt]
--- a/tests/headroom/test_headroom.py
+++ b/tests/headroom/test_headroom.py
@@ -5,12 +5,16 @@
 import pytest
 
 from caperridge.decisions.batch_share import GUARD_MOST, FirstTokenGuard
-from caperridge.decisions.headroom import PEERS_KEEP_S, SETTLE_S, Headroom
+from caperridge.decisions.headroom import PEER_RESERVE_S, SETTLE_S, Headroom
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.own_targets import OwnTargets
-from caperridge.decisions.preemption import PROTECTED_AFTER, BatchStream, first_to_go
+from caperridge.decisions.preemption import (
+    PROTECTION_THRESHOLD,
+    BatchStream,
+    preemption_victims,
+)
 from caperridge.decisions.routing import TargetState
-from caperridge.decisions.runner_headroom import MOST_PUT_OFF_STEPS
+from caperridge.decisions.runner_headroom import MAX_DEFERRAL_STEPS
 from caperridge.store.interface import ListedMember
 
 TARGET = "runner-1"
@@ -32,19 +36,19 @@
 @pytest.mark.parametrize("weight", [0.0, 0.5, 1.0])
 def test_batch_has_its_places_back_soon_after_a_burst(weight: float) -> None:
     headroom = Headroom()
-    headroom.gained(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, alone=True)
     running = 0
     for step in range(20):
         running = fill(headroom, running, weight, step * STEP_S)
     assert running == MOST
     now = 1.0
     for online in range(1, MOST + 1):
-        headroom.online_changed(TARGET, "entry-1", online, now)
+        headroom.update_online(TARGET, "entry-1", online, now)
         running -= preempted(headroom, running, weight, now)
         assert running + online <= MOST
         now += 0.01
     now += 3.0
-    headroom.online_changed(TARGET, "entry-1", 0, now)
+    headroom.update_online(TARGET, "entry-1", 0, now)
     ended = now
     while now < ended + BACK_S:
         running = fill(headroom, running, weight, now)
@@ -54,45 +58,45 @@
 
 def test_a_stream_that_frees_its_place_by_itself_is_left_to_end() -> None:
     headroom = Headroom()
-    headroom.gained(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, alone=True)
     streams = [BatchStream(str(n), TARGET, tokens=n) for n in range(MOST)]
     streams[0].ending = True
-    headroom.online_changed(TARGET, "entry-1", 1, 1.0)
+    headroom.update_online(TARGET, "entry-1", 1, 1.0)
     assert headroom.to_preempt(TARGET, MOST, 0.5, streams, 1.0) == []
-    headroom.online_changed(TARGET, "entry-1", 2, 1.0)
+    headroom.update_online(TARGET, "entry-1", 2, 1.0)
     assert headroom.to_preempt(TARGET, MOST, 0.5, streams, 1.0) == [streams[1]]
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.5])
 def test_a_place_just_freed_is_held_and_then_given_to_batch(weight: float) -> None:
     headroom = Headroom()
-    headroom.gained(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, alone=True)
     for online in (4, 3):
-        headroom.online_changed(TARGET, "entry-1", online, 1.0)
+        headroom.update_online(TARGET, "entry-1", online, 1.0)
     assert headroom.startable(TARGET, MOST, weight, 1.0) == MOST - 4
     assert headroom.allowed(TARGET, MOST, weight, 1.0) == MOST - 3
-    assert headroom.to_start(TARGET, MOST, weight, MOST - 4, 0, 1.0).again_s < 0.1
+    assert headroom.to_start(TARGET, MOST, weight, MOST - 4, 0, 1.0).retry_delay_s < 0.1
     assert headroom.startable(TARGET, MOST, weight, 1.5) == MOST - 3
 
 
 def test_a_place_is_kept_for_requests_of_peers() -> None:
     headroom = Headroom()
-    headroom.gained(TARGET, 0.0, alone=False)
+    headroom.acquire_target(TARGET, 0.0, alone=False)
     now = SETTLE_S
     assert headroom.allowed(TARGET, MOST, 1.0, now) == MOST - 1
-    headroom.online_changed(TARGET, "entry-2", 3, now, sequence=1)
+    headroom.update_online(TARGET, "entry-2", 3, now, sequence=1)
     assert headroom.allowed(TARGET, MOST, 1.0, now) == MOST - 1 - 3
 
 
 def test_no_place_is_kept_where_peers_have_sent_nothing_for_long() -> None:
     headroom = Headroom()
-    headroom.gained(TARGET, 0.0, alone=False)
-    headroom.online_changed(TARGET, "entry-2", 1, 10.0, sequence=1)
-    headroom.online_changed(TARGET, "entry-2", 0, 11.0, sequence=2)
-    quiet = 10.0 + PEERS_KEEP_S
+    headroom.acquire_target(TARGET, 0.0, alone=False)
+    headroom.update_online(TARGET, "entry-2", 1, 10.0, sequence=1)
+    headroom.update_online(TARGET, "entry-2", 0, 11.0, sequence=2)
+    quiet = 10.0 + PEER_RESERVE_S
     assert headroom.allowed(TARGET, MOST, 1.0, quiet - 0.1) == MOST - 1
     assert headroom.allowed(TARGET, MOST, 1.0, quiet) == MOST
-    headroom.online_changed(TARGET, "entry-2", 1, quiet + 1, sequence=3)
+    headroom.update_online(TARGET, "entry-2", 1, quiet + 1, sequence=3)
     assert headroom.allowed(TARGET, MOST, 1.0, quiet + 1) == MOST - 1 - 1
 
 
@@ -108,7 +112,7 @@
     weight: float, most_starts: int
 ) -> None:
     headroom = Headroom()
-    headroom.gained(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, alone=True)
     running = 0
     for step in range(40):
         filled = fill(headroom, running, weight, step * STEP_S)
@@ -117,8 +121,8 @@
         running = filled - (MOST // 4 if step >= 20 else 0)
         assert step < 20 or filled == MOST
     # Beside an online request, and for a while after it, the prefills stay spread.
-    headroom.online_changed(TARGET, "entry-1", 1, 2.0)
-    headroom.online_changed(TARGET, "entry-1", 0, 2.1)
+    headroom.update_online(TARGET, "entry-1", 1, 2.0)
+    headroom.update_online(TARGET, "entry-1", 0, 2.1)
     assert (fill(headroom, running, weight, 3.0) == MOST) == (weight == 1.0)
     assert fill(headroom, running, weight, 5.0) == MOST
 
@@ -136,19 +140,19 @@
     old_learns_s: float, new_learns_s: float, most_at_once: int
 ) -> None:
     old, new = Headroom(), Headroom()
-    old.gained(TARGET, 0.0)
+    old.acquire_target(TARGET, 0.0)
     old_running = new_running = 0
     both_s, most, learnt = 0.0, 0, False
     for tick in range(600):
         now = tick * STEP_S
         if now >= old_learns_s:
-            old.lost(TARGET)
+            old.release_target(TARGET)
             old_running = 0
         else:
             old_running = fill(old, old_running, 0.5, now)
         if now >= new_learns_s and not learnt:
             learnt = True
-            new.gained(TARGET, now)
+            new.acquire_target(TARGET, now)
         new_running = fill(new, new_running, 0.5, now)
         most = max(most, old_running + new_running)
         if old_running and new_running:
@@ -160,13 +164,13 @@
 
 def test_a_start_is_put_off_beside_an_online_prompt_but_not_for_ever() -> None:
     headroom = Headroom()
-    headroom.gained(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, alone=True)
     running, online, started_at = 0, 0, []
     for step in range(60):
         now = 1.0 + step * STEP_S
         before = running
         online = 1 - online  # a request comes with every other step
-        headroom.online_changed(TARGET, "entry-1", online, now)
+        headroom.update_online(TARGET, "entry-1", online, now)
         running = fill(headroom, running, 0.0, now)
         if running > before:
             started_at.append(now)
@@ -174,7 +178,7 @@
             running = 0  # all end, so that there is always room
     waits = [after - at for at, after in pairwise(started_at)]
     assert min(waits) > 2 * STEP_S  # without the pause it would fill with each step
-    assert max(waits) <= (MOST_PUT_OFF_STEPS + 1) * STEP_S
+    assert max(waits) <= (MAX_DEFERRAL_STEPS + 1) * STEP_S
 
 
 def test_no_item_gives_way_for_ever() -> None:
@@ -182,12 +186,12 @@
     for _ in range(200):
         for stream in streams:
             stream.tokens += 5
-        victim = first_to_go(streams, 1)[0]
+        victim = preemption_victims(streams, 1)[0]
         # It starts again elsewhere and comes back behind all others.
         victim.preemptions += 1
         victim.tokens = 0
     counts = [stream.preemptions for stream in streams]
-    assert max(counts) - min(counts) <= PROTECTED_AFTER
+    assert max(counts) - min(counts) <= PROTECTION_THRESHOLD
 
 
 def test_late_first_tokens_take_places_from_batch_and_time_gives_them_back() -> None:
--- a/tests/headroom/test_headroom_machine.py
+++ b/tests/headroom/test_headroom_machine.py
@@ -13,8 +13,8 @@
 )
 
 from caperridge.decisions.headroom import SETTLE_S, Headroom
-from caperridge.decisions.online_counts import EXPIRES_S
-from caperridge.decisions.preemption import PROTECTED_AFTER, BatchStream
+from caperridge.decisions.online_counts import COUNT_TTL_S
+from caperridge.decisions.preemption import PROTECTION_THRESHOLD, BatchStream
 
 TARGET = "runner-1"
 OWN = "entry-1"
@@ -44,7 +44,7 @@
         self.most_running = most_running
         self.weight = weight
         self.headroom = Headroom()
-        self.headroom.gained(TARGET, self.now, alone)
+        self.headroom.acquire_target(TARGET, self.now, alone)
         self.settled_at = self.now if alone else self.now + SETTLE_S
         self.in_flight_by_sender = dict.fromkeys((OWN, *PEERS), 0)
         self.sequence_by_sender = dict.fromkeys(PEERS, 0)
@@ -61,7 +61,7 @@
     def _tell(self, sender: str) -> None:
         in_flight = self.in_flight_by_sender[sender]
         if sender == OWN:
-            self.headroom.online_changed(TARGET, OWN, in_flight, self.now)
+            self.headroom.update_online(TARGET, OWN, in_flight, self.now)
             self._preempt()
             return
         self.sequence_by_sender[sender] += 1
@@ -70,8 +70,8 @@
 
     def _hear(self, news: News) -> None:
         known = self.heard_by_sender.get(news.sender, (0, 0, LONG_AGO))
-        fresh = news.sequence > known[1] or self.now - known[2] >= EXPIRES_S
-        taken = self.headroom.online_changed(
+        fresh = news.sequence > known[1] or self.now - known[2] >= COUNT_TTL_S
+        taken = self.headroom.update_online(
             TARGET, news.sender, news.in_flight, self.now, news.sequence
         )
         assert taken == fresh
@@ -83,7 +83,7 @@
     def _oracle_online(self) -> int:
         total = self.in_flight_by_sender[OWN]
         for in_flight, _, heard_at in self.heard_by_sender.values():
-            if self.now - heard_at < EXPIRES_S:
+            if self.now - heard_at < COUNT_TTL_S:
                 total += in_flight
         return total
 
@@ -109,9 +109,9 @@
             for kept in self.batch:
                 if kept.ending:
                     continue
-                if victim.preemptions >= PROTECTED_AFTER:
+                if victim.preemptions >= PROTECTION_THRESHOLD:
                     assert kept.preemptions >= victim.preemptions
-                elif kept.preemptions < PROTECTED_AFTER:
+                elif kept.preemptions < PROTECTION_THRESHOLD:
                     assert kept.tokens >= victim.tokens
 
     @rule(sender=st.sampled_from([OWN, *PEERS]))
@@ -145,7 +145,7 @@
     @rule(sender=st.sampled_from(PEERS))
     def a_peer_is_gone(self, sender: str) -> None:
         self.in_flight_by_sender[sender] = 0
-        self.headroom.sender_gone(sender)
+        self.headroom.remove_sender(sender)
         self.heard_by_sender.pop(sender, None)
         self.on_the_way = [n for n in self.on_the_way if n.sender != sender]
 
@@ -157,14 +157,14 @@
     def steps_are_seen(self, step_s: float, count: int) -> None:
         for _ in range(count):
             self.now += step_s
-            self.headroom.step_seen(TARGET, len(self.batch), step_s, self.now)
+            self.headroom.record_step(TARGET, len(self.batch), step_s, self.now)
 
     @rule(first_token_s=st.sampled_from([0.02, 0.5, 3.0]))
     def a_first_token_is_seen(self, first_token_s: float) -> None:
-        self.headroom.first_token_seen(TARGET, first_token_s, self.now)
+        self.headroom.record_first_token(TARGET, first_token_s, self.now)
         self._preempt()
 
-    @rule(preemptions=st.integers(0, PROTECTED_AFTER + 2))
+    @rule(preemptions=st.integers(0, PROTECTION_THRESHOLD + 2))
     def batch_fills(self, preemptions: int) -> None:
         ending = len(self.batch) - self._staying()
         starts = self.headroom.to_start(
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -10,29 +10,29 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from caperridge.decisions.failure_detector import (
-    ALONE_S,
     DEAD,
     JOINING,
     LIVE,
-    MOST_STEADY_S,
-    REMOVE_S,
+    MAX_RECOVERY_S,
+    MAX_REJOIN_DELAY_S,
+    REMOVE_TIMEOUT_S,
     SUSPECT,
-    SUSPECT_S,
+    SUSPECT_TIMEOUT_S,
     Evidence,
     FailureDetector,
 )
-from caperridge.decisions.heartbeats import START_S, Heartbeats
+from caperridge.decisions.heartbeats import STARTUP_S, Heartbeats
 from caperridge.decisions.links import LINKS_A_ZONE, wanted_links
 from caperridge.decisions.membership import (
-    ELSEWHERE_S,
-    LISTED_GRACE_S,
+    LISTED_GRACE_PERIOD_S,
+    OTHER_ZONE_SILENCE_S,
     Membership,
 )
 from caperridge.store.interface import ListedMember
 
 ZONE = "oviedo"
 TICK = 0.5
-SETTLE_S = SUSPECT_S + REMOVE_S + MOST_STEADY_S + 4 * TICK
+SETTLE_S = SUSPECT_TIMEOUT_S + REMOVE_TIMEOUT_S + MAX_REJOIN_DELAY_S + 4 * TICK
 
 
 def listed(name: str, state: str = "live", incarnation: int = 1) -> ListedMember:
@@ -45,7 +45,7 @@
     ("steps", "state"),
     [
         ([(0, 1, 1)], LIVE),
-        ([(0, 1, 1), (SUSPECT_S, None, None)], SUSPECT),
+        ([(0, 1, 1), (SUSPECT_TIMEOUT_S, None, None)], SUSPECT),
         ([(0, 1, 1), (3, None, None), (4, 1, 2)], LIVE),
         ([(0, 1, 2), (3, None, None), (4, 1, 2)], SUSPECT),
         ([(0, 1, 2), (3, None, None), (4, 1, 1)], SUSPECT),
@@ -65,19 +65,19 @@
             now += TICK
             detector.tick(now)
         if incarnation is not None:
-            detector.heard(Evidence("b", incarnation, sequence), now)
+            detector.record_evidence(Evidence("b", incarnation, sequence), now)
     assert detector.health_by_id["b"].state == state
 
 
 def test_a_paused_instance_blames_nobody_and_holds_back() -> None:
     view = Membership("a", ZONE, heartbeats=True)
     view.tick(0.0)
-    view.heard(Evidence("b", 1, 1), ZONE, 0.0)
+    view.record_evidence(Evidence("b", 1, 1), ZONE, 0.0)
     assert view.live(ZONE) == ["a", "b"]
     assert view.tick(60.0) == []
     assert view.detector.suspects() == []
     assert view.live(ZONE) == ["b"]
-    view.heard(Evidence("b", 1, 2), ZONE, 60.1)
+    view.record_evidence(Evidence("b", 1, 2), ZONE, 60.1)
     assert view.live(ZONE) == ["a", "b"]
 
 
@@ -85,10 +85,10 @@
     view = Membership("a", ZONE, heartbeats=True)
     view.tick(0.0)
     view.tick(60.0)
-    for step in range(1, int(ALONE_S / TICK)):
+    for step in range(1, int(MAX_RECOVERY_S / TICK)):
         view.tick(60.0 + step * TICK)
         assert view.live(ZONE) == []
-    view.tick(60.0 + ALONE_S)
+    view.tick(60.0 + MAX_RECOVERY_S)
     assert view.live(ZONE) == ["a"]
 
 
@@ -96,29 +96,31 @@
     view = Membership("a", ZONE, heartbeats=True)
     view.apply_list([listed("a"), listed("b")], 0.0)
     assert view.live(ZONE) == ["a", "b"]
-    for step in range(int(LISTED_GRACE_S / TICK) + 1):
+    for step in range(int(LISTED_GRACE_PERIOD_S / TICK) + 1):
         view.tick(step * TICK)
     assert view.live(ZONE) == ["a"]
 
 
 def test_leaving_sticks_to_the_incarnation() -> None:
     view = Membership("a", ZONE, heartbeats=True)
-    view.heard(Evidence("b", 5, 1), ZONE, 0.0)
+    view.record_evidence(Evidence("b", 5, 1), ZONE, 0.0)
     view.apply_list([listed("b", "leaving")], 0.0)
     assert view.live(ZONE) == ["a"]
     view.apply_list([listed("b", "live")], 0.1)
-    view.heard(Evidence("b", 5, 2), ZONE, 0.2)
+    view.record_evidence(Evidence("b", 5, 2), ZONE, 0.2)
     assert view.live(ZONE) == ["a"]
-    view.heard(Evidence("b", 6, 1), ZONE, 0.3)
+    view.record_evidence(Evidence("b", 6, 1), ZONE, 0.3)
     assert view.live(ZONE) == ["a", "b"]
 
 
 def test_a_peer_whose_stream_ended_is_suspected_at_once_and_removed_sooner() -> None:
     view = Membership("a", ZONE, heartbeats=True)
-    view.heard(Evidence("b", 1, 1), ZONE, 0.0)
-    view.lost("b", 0.0)
+    view.record_evidence(Evidence("b", 1, 1), ZONE, 0.0)
+    view.suspect("b", 0.0)
     assert view.detector.suspects() == ["b"]
-    removed = [view.tick(step * TICK) for step in range(1, int(REMOVE_S / TICK) + 1)]
+    removed = [
+        view.tick(step * TICK) for step in range(1, int(REMOVE_TIMEOUT_S / TICK) + 1)
+    ]
     assert removed[-1] == ["b"]
     assert not any(removed[:-1])
 
@@ -126,13 +128,13 @@
 def test_silence_from_another_zone_counts_less_than_the_list_after_a_while() -> None:
     view = Membership("a", "bilbao", heartbeats=True)
     view.apply_list([listed("b")], 0.0)
-    view.heard(Evidence("b", 1, 1), ZONE, 0.0)
+    view.record_evidence(Evidence("b", 1, 1), ZONE, 0.0)
     now = 0.0
-    while now < SUSPECT_S + REMOVE_S:
+    while now < SUSPECT_TIMEOUT_S + REMOVE_TIMEOUT_S:
         now += TICK
         view.tick(now)
     assert view.live(ZONE) == []
-    while now < SUSPECT_S + REMOVE_S + ELSEWHERE_S:
+    while now < SUSPECT_TIMEOUT_S + REMOVE_TIMEOUT_S + OTHER_ZONE_SILENCE_S:
         now += TICK
         view.tick(now)
     assert view.live(ZONE) == ["b"]
@@ -144,12 +146,12 @@
     waits: list[float] = []
     for _ in range(7):
         sequence += 1
-        detector.heard(Evidence("b", 1, sequence), now)
+        detector.record_evidence(Evidence("b", 1, sequence), now)
         since = now
         while detector.health_by_id["b"].state == JOINING:
             now += TICK
             sequence += 1
-            detector.heard(Evidence("b", 1, sequence), now)
+            detector.record_evidence(Evidence("b", 1, sequence), now)
             detector.tick(now)
         waits.append(now - since)
         while detector.health_by_id["b"].state != DEAD:
@@ -163,10 +165,10 @@
 ):
     view = Membership("a", ZONE, heartbeats=True)
     heartbeats = Heartbeats(view, 100, 0.0)
-    heartbeats.check_own(500, START_S - 1)
+    heartbeats.check_own_incarnation(500, STARTUP_S - 1)
     assert heartbeats.incarnation == 501
     assert view.steady
-    heartbeats.check_own(900, START_S + 1)
+    heartbeats.check_own_incarnation(900, STARTUP_S + 1)
     assert heartbeats.incarnation == 501
     assert not view.steady
 
@@ -279,7 +281,7 @@
             for other in awake:
                 link = frozenset((node.name, other.name))
                 if other is not node and link not in self.cut:
-                    other.heartbeats.take(heartbeat, ZONE, self.now)
+                    other.heartbeats.receive(heartbeat, ZONE, self.now)
 
     @rule()
     def a_former_process_wakes_and_speaks(self) -> None:
@@ -288,8 +290,8 @@
             for other in self.nodes.values():
                 if other.name == node.name or other.paused:
                     continue
-                other.heartbeats.take(late, ZONE, self.now)
-                answer = other.heartbeats.repeated()
+                other.heartbeats.receive(late, ZONE, self.now)
+                answer = other.heartbeats.latest()
                 answer.rumours.append(
                     [
                         node.name,
@@ -298,7 +300,7 @@
                         0,
                     ]
                 )
-                node.heartbeats.take(answer, ZONE, self.now + START_S)
+                node.heartbeats.receive(answer, ZONE, self.now + STARTUP_S)
         self.gone = []
 
     @rule()
