--- a/src/caperridge/decisions/affinity.py
+++ b/src/caperridge/decisions/affinity.py
@@ -11,12 +11,12 @@
 import xxhash
 
 BLOCK_TOKENS = 16
-CHARACTERS_A_TOKEN = 4
-MOST_BLOCKS_A_PROMPT = 64
-MOST_BLOCKS = 20_000
-MOST_HOLDERS = 4
+CHARACTERS_PER_TOKEN = 4
+MAX_BLOCKS_PER_PROMPT = 64
+MAX_BLOCKS = 20_000
+MAX_HOLDERS_PER_BLOCK = 4
 
-_BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_A_TOKEN
+_BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN
 
 
 def prefix_blocks(prompt: str) -> list[int]:
@@ -33,7 +33,7 @@
     seed = 0
     last_start = min(
         len(prompt) - _BLOCK_CHARACTERS,
-        (MOST_BLOCKS_A_PROMPT - 1) * _BLOCK_CHARACTERS,
+        (MAX_BLOCKS_PER_PROMPT - 1) * _BLOCK_CHARACTERS,
     )
     for start in range(0, last_start + 1, _BLOCK_CHARACTERS):
         block = prompt[start : start + _BLOCK_CHARACTERS].encode()
@@ -44,7 +44,7 @@
 
 def prompt_tokens(prompt: str) -> int:
     """Return about how many tokens ``prompt`` has."""
-    return len(prompt) // CHARACTERS_A_TOKEN + 1
+    return len(prompt) // CHARACTERS_PER_TOKEN + 1
 
 
 class PrefixIndex:
@@ -54,8 +54,8 @@
         most_blocks: prefixes remembered; about 250 bytes each.
     """
 
-    def __init__(self, most_blocks: int = MOST_BLOCKS) -> None:
-        self._most_blocks = most_blocks
+    def __init__(self, max_blocks: int = MAX_BLOCKS) -> None:
+        self._max_blocks = max_blocks
         self._holders_by_block: OrderedDict[int, list[str]] = OrderedDict()
 
     def __len__(self) -> int:
@@ -71,9 +71,9 @@
             if target in holders:
                 holders.remove(target)
             holders.append(target)
-            if len(holders) > MOST_HOLDERS:
+            if len(holders) > MAX_HOLDERS_PER_BLOCK:
                 del holders[0]
-        while len(self._holders_by_block) > self._most_blocks:
+        while len(self._holders_by_block) > self._max_blocks:
             self._holders_by_block.popitem(last=False)
 
     def remove_target(self, target: str) -> None:
--- a/src/caperridge/decisions/backoff.py
+++ b/src/caperridge/decisions/backoff.py
@@ -1,12 +1,15 @@
 """How long to wait before the next try: doubling, bounded, with jitter."""
 
-FIRST_S = 0.25
-MOST_S = 15.0
-LEAST_SHARE = 0.5
+BASE_DELAY_S = 0.25
+MAX_DELAY_S = 15.0
+MIN_DELAY_RATIO = 0.5
 
 
-def wait_s(
-    failures: int, chance: float, first_s: float = FIRST_S, most_s: float = MOST_S
+def backoff_s(
+    failures: int,
+    chance: float,
+    first_s: float = BASE_DELAY_S,
+    most_s: float = MAX_DELAY_S,
 ) -> float:
     """Return the pause after ``failures`` failures in a row.
 
@@ -16,10 +19,10 @@
         first_s: the longest pause after one failure.
         most_s: the longest pause at all.
 
-    >>> [wait_s(n, 1.0) for n in (1, 2, 3, 20)]
+    >>> [backoff_s(n, 1.0) for n in (1, 2, 3, 20)]
     [0.25, 0.5, 1.0, 15.0]
-    >>> wait_s(1, 0.0)
+    >>> backoff_s(1, 0.0)
     0.125
     """
     longest = min(most_s, first_s * 2 ** min(failures - 1, 30))
-    return longest * (LEAST_SHARE + (1 - LEAST_SHARE) * chance)
+    return longest * (MIN_DELAY_RATIO + (1 - MIN_DELAY_RATIO) * chance)
--- a/src/caperridge/decisions/fair_queue.py
+++ b/src/caperridge/decisions/fair_queue.py
@@ -10,11 +10,11 @@
 
 from caperridge.records import Record
 
-MOST_WAITING = 256
-MOST_FINISHES = 1024
+MAX_WAITING = 256
+MAX_FINISH_STAMPS = 1024
 
 
-class Waiting(Record):
+class QueuedRequest(Record):
     """One request that waits.
 
     Attributes:
@@ -47,9 +47,9 @@
 class FairQueue:
     """What waits for one service."""
 
-    def __init__(self, most_waiting: int = MOST_WAITING) -> None:
+    def __init__(self, most_waiting: int = MAX_WAITING) -> None:
         self._most_waiting = most_waiting
-        self._waiting_by_caller: dict[str, deque[Waiting]] = {}
+        self._waiting_by_caller: dict[str, deque[QueuedRequest]] = {}
         self._finish_by_caller: dict[str, float] = {}
         self._virtual = 0.0
         self._length = 0
@@ -57,12 +57,12 @@
     def __len__(self) -> int:
         return self._length
 
-    def push(self, waiting: Waiting) -> Waiting | None:
+    def push(self, waiting: QueuedRequest) -> QueuedRequest | None:
         """Queue a request; return the one that has to go if there is no room.
 
         That may be ``waiting`` itself.
         """
-        dropped: Waiting | None = None
+        dropped: QueuedRequest | None = None
         if self._length >= self._most_waiting:
             dropped = self._to_drop(waiting)
             if dropped is waiting:
@@ -75,10 +75,10 @@
         self._length += 1
         return dropped
 
-    def pop(self, now: float) -> tuple[Waiting | None, list[Waiting]]:
+    def pop(self, now: float) -> tuple[QueuedRequest | None, list[QueuedRequest]]:
         """Return who is next, and those whose deadline passed while they waited."""
         late = self.expire(now)
-        best: Waiting | None = None
+        best: QueuedRequest | None = None
         for queue in self._waiting_by_caller.values():
             if best is None or queue[0].start < best.start:
                 best = queue[0]
@@ -92,16 +92,16 @@
         self._prune()
         return best, late
 
-    def expire(self, now: float) -> list[Waiting]:
+    def expire(self, now: float) -> list[QueuedRequest]:
         """Remove and return those whose deadline has passed."""
-        late: list[Waiting] = []
+        late: list[QueuedRequest] = []
         for queue in self._waiting_by_caller.values():
             late.extend(waiting for waiting in queue if waiting.deadline <= now)
         for waiting in late:
             self.remove(waiting)
         return late
 
-    def remove(self, waiting: Waiting) -> bool:
+    def remove(self, waiting: QueuedRequest) -> bool:
         """Take a request out, e.g. because its caller hung up."""
         queue = self._waiting_by_caller.get(waiting.caller)
         if queue is None:
@@ -123,7 +123,7 @@
             self._virtual = 0.0
         return True
 
-    def ahead_of(self, caller: str, weight: float) -> int:
+    def requests_ahead(self, caller: str, weight: float) -> int:
         """Return about how many would go before a new request of ``caller``."""
         finish = self._finish_by_caller.get(caller, 0.0)
         start = max(self._virtual, finish)
@@ -136,13 +136,13 @@
         return ahead
 
     def _prune(self) -> None:
-        if len(self._finish_by_caller) <= MOST_FINISHES:
+        if len(self._finish_by_caller) <= MAX_FINISH_STAMPS:
             return
         for caller, finish in list(self._finish_by_caller.items()):
             if finish <= self._virtual and caller not in self._waiting_by_caller:
                 del self._finish_by_caller[caller]
 
-    def _to_drop(self, waiting: Waiting) -> Waiting:
+    def _to_drop(self, waiting: QueuedRequest) -> QueuedRequest:
         own = self._waiting_by_caller.get(waiting.caller, ())
         most = (len(own) + 1) / waiting.weight
         dropped = waiting
--- a/src/caperridge/decisions/links.py
+++ b/src/caperridge/decisions/links.py
@@ -13,10 +13,10 @@
 
 from caperridge.decisions.membership import Membership
 
-LINKS_A_ZONE = 2
+LINKS_PER_ZONE = 2
 
 
-def wanted_links(
+def desired_links(
     instance: str,
     availability_zone: str,
     known_by_zone: Mapping[str, Collection[str]],
@@ -36,14 +36,14 @@
     for zone, members in known_by_zone.items():
         if zone == availability_zone or not zone:
             continue
-        if instance in gateways(availability_zone, zone, own_zone, live):
-            wanted.update(gateways(zone, availability_zone, members, live))
+        if instance in linking_members(availability_zone, zone, own_zone, live):
+            wanted.update(linking_members(zone, availability_zone, members, live))
     return wanted
 
 
-def links_in(membership: Membership) -> set[str]:
+def links_for(membership: Membership) -> set[str]:
     """Return the peers that the instance with this view should have a stream to."""
-    return wanted_links(
+    return desired_links(
         membership.instance,
         membership.availability_zone,
         membership.known_by_zone(),
@@ -51,7 +51,7 @@
     )
 
 
-def gateways(
+def linking_members(
     zone: str, other: str, members: Collection[str], live: Collection[str]
 ) -> list[str]:
     """Return the members of ``zone`` that keep the links to ``other``."""
@@ -60,4 +60,4 @@
         score = xxhash.xxh3_64_intdigest(f"{member}\x00{zone}\x00{other}".encode())
         return member in live, score, member
 
-    return sorted(members, key=rank, reverse=True)[:LINKS_A_ZONE]
+    return sorted(members, key=rank, reverse=True)[:LINKS_PER_ZONE]
--- a/src/caperridge/decisions/load_pacing.py
+++ b/src/caperridge/decisions/load_pacing.py
@@ -9,9 +9,11 @@
 
 from caperridge.records import Record
 
-SLOWEST = 4.0  # a load that takes so many times its share of the rate is given up
-GRACE_S = 60.0
-MOST_LOADS = 2  # one reads while the next one drains
+MAX_LOAD_TIME_FACTOR = (
+    4.0  # a load that takes so many times its share of the rate is given up
+)
+LOAD_GRACE_S = 60.0
+MAX_LOADS = 2  # one reads while the next one drains
 
 
 class Load(Record):
@@ -37,19 +39,19 @@
         self.out = out
 
 
-def loads_of(value: dict[str, Any] | None) -> list[Load]:
+def parse_loads(value: dict[str, Any] | None) -> list[Load]:
     """Return the loads that a row's fields list."""
     return [Load.from_map(fields) for fields in (value or {}).get("loads", [])]
 
 
-def under_way(loads: list[Load], gb_per_s: float, now: float) -> list[Load]:
+def active_loads(loads: list[Load], gb_per_s: float, now: float) -> list[Load]:
     """Return ``loads`` without those whose orderer must have been lost."""
     total = sum(load.gb for load in loads)
-    most_s = GRACE_S + SLOWEST * total / gb_per_s
+    most_s = LOAD_GRACE_S + MAX_LOAD_TIME_FACTOR * total / gb_per_s
     return [load for load in loads if now - load.at < most_s]
 
 
-def may_begin(loads: list[Load], wanted: Load, serving: list[str]) -> str:
+def blocked_reason(loads: list[Load], wanted: Load, serving: list[str]) -> str:
     """Return why ``wanted`` may not begin now; empty if it may.
 
     Args:
@@ -57,7 +59,7 @@
         wanted: which would begin.
         serving: other targets of its service that answer online callers now.
     """
-    if len(loads) >= MOST_LOADS:
+    if len(loads) >= MAX_LOADS:
         return f"{len(loads)} loads share the weight store already"
     if not wanted.out:
         return ""
--- a/src/caperridge/decisions/loaded_book.py
+++ b/src/caperridge/decisions/loaded_book.py
@@ -26,31 +26,31 @@
         self.held = held
 
 
-class LoadedBook:
+class LoadedStates:
     """By target; one that nobody told of is taken to serve."""
 
     def __init__(self) -> None:
-        self.states_by_target: dict[str, LoadedState] = {}
+        self.by_target: dict[str, LoadedState] = {}
 
     def apply(self, target: str, state: LoadedState) -> bool:
         """Take over news; return whether it was newer than what was known."""
-        known = self.states_by_target.get(target)
+        known = self.by_target.get(target)
         if known is not None:
             older = (state.fence, state.sequence) <= (known.fence, known.sequence)
             if older:
                 return False
-        self.states_by_target[target] = state
+        self.by_target[target] = state
         return True
 
-    def forget_all_but(self, targets: set[str]) -> None:
+    def retain(self, targets: set[str]) -> None:
         """Forget targets that are no longer listed."""
-        for target in list(self.states_by_target):
+        for target in list(self.by_target):
             if target not in targets:
-                del self.states_by_target[target]
+                del self.by_target[target]
 
     def closed_to_online(self, target: str, service: Service) -> bool:
         """Return whether a target should get no online request of its service."""
-        state = self.states_by_target.get(target)
+        state = self.by_target.get(target)
         if state is None:
             return False
         if state.held or state.loaded.role == BATCH:
@@ -59,5 +59,5 @@
 
     def closed_to_batch(self, target: str) -> bool:
         """Return whether a target should get no new batch item."""
-        state = self.states_by_target.get(target)
+        state = self.by_target.get(target)
         return state is not None and state.held
--- a/src/caperridge/decisions/patience.py
+++ b/src/caperridge/decisions/patience.py
@@ -8,11 +8,11 @@
 from bisect import insort
 from collections import deque
 
-WINDOW = 128
-LEAST_SAMPLES = 8
+WINDOW_SAMPLES = 128
+MIN_SAMPLES = 8
 
 
-class Patience:
+class AdaptiveTimeout:
     """The limit for one kind of event of one service, in seconds.
 
     Args:
@@ -24,10 +24,10 @@
     """
 
     __slots__ = (
-        "_cold_s",
         "_factor",
-        "_least_s",
-        "_most_s",
+        "_initial_s",
+        "_max_s",
+        "_min_s",
         "_newest",
         "_quantile",
         "_sorted",
@@ -37,42 +37,42 @@
         self,
         quantile: float,
         factor: float,
-        least_s: float,
-        most_s: float,
-        cold_s: float,
+        min_s: float,
+        max_s: float,
+        initial_s: float,
     ) -> None:
         self._quantile = quantile
         self._factor = factor
-        self._least_s = least_s
-        self._most_s = most_s
-        self._cold_s = cold_s
+        self._min_s = min_s
+        self._max_s = max_s
+        self._initial_s = initial_s
         self._newest: deque[float] = deque()
         self._sorted: list[float] = []
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take in one time that was seen, or the limit that ran out."""
         self._newest.append(seconds)
         insort(self._sorted, seconds)
-        if len(self._newest) > WINDOW:
+        if len(self._newest) > WINDOW_SAMPLES:
             self._sorted.remove(self._newest.popleft())
 
-    def limit_s(self) -> float:
+    def timeout_s(self) -> float:
         """Return the limit."""
-        if len(self._sorted) < LEAST_SAMPLES:
-            return self._cold_s
+        if len(self._sorted) < MIN_SAMPLES:
+            return self._initial_s
         index = int(len(self._sorted) * self._quantile)
         usual = self._sorted[min(index, len(self._sorted) - 1)]
-        return min(self._most_s, max(self._least_s, usual * self._factor))
+        return min(self._max_s, max(self._min_s, usual * self._factor))
 
 
-def first_event_patience() -> Patience:
+def first_event_timeout() -> AdaptiveTimeout:
     """Return the patience for first events.
 
     The cold limit leaves time for a second try within the aim of 1.8 s.
     """
-    return Patience(0.95, 3.0, least_s=0.25, most_s=30.0, cold_s=1.2)
+    return AdaptiveTimeout(0.95, 3.0, min_s=0.25, max_s=30.0, initial_s=1.2)
 
 
-def between_events_patience() -> Patience:
+def inter_event_timeout() -> AdaptiveTimeout:
     """Return the patience between events; an engine pauses to prefill for others."""
-    return Patience(0.95, 10.0, least_s=0.5, most_s=10.0, cold_s=2.0)
+    return AdaptiveTimeout(0.95, 10.0, min_s=0.5, max_s=10.0, initial_s=2.0)
--- a/src/caperridge/decisions/rates.py
+++ b/src/caperridge/decisions/rates.py
@@ -8,9 +8,9 @@
     """An average that forgets: what ended long ago counts little.
 
     >>> meter = RateMeter()
-    >>> meter.started(0.0)
+    >>> meter.start(0.0)
     >>> for second in range(1, 61):
-    ...     meter.ended(10, float(second))
+    ...     meter.record(10, float(second))
     >>> 9.5 < meter.per_s(60.5) < 10.5
     True
     """
@@ -20,24 +20,24 @@
         self._weight_s = 0.0
         self._at: float | None = None
 
-    def ended(self, items: int, now: float) -> None:
+    def record(self, items: int, now: float) -> None:
         """Note ``items`` that ended at ``now``."""
-        self._forget(now)
+        self._decay(now)
         self._weighted += items
 
-    def started(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Begin to count time, if nothing was noted yet."""
         if self._at is None:
             self._at = now
 
     def per_s(self, now: float) -> float:
         """Return the average; 0 before the first second is over."""
-        self._forget(now)
+        self._decay(now)
         if self._weight_s < 0.9:
             return 0.0
         return self._weighted / self._weight_s
 
-    def _forget(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         if self._at is None:
             self._at = now
             return
--- a/src/caperridge/decisions/relay_choice.py
+++ b/src/caperridge/decisions/relay_choice.py
@@ -6,15 +6,15 @@
 
 from collections.abc import Iterable, Mapping
 
-from caperridge.decisions.backoff import wait_s
+from caperridge.decisions.backoff import backoff_s
 from caperridge.decisions.rendezvous import owner
 
-FIRST_SIT_OUT_S = 1.0
-MOST_SIT_OUT_S = 20.0
-STREAMS_ELSEWHERE = 2
+BASE_COOLDOWN_S = 1.0
+MAX_COOLDOWN_S = 20.0
+OTHER_ZONE_STREAMS = 2
 
 
-class RelayChoice:
+class RelaySelector:
     """Remembers who could help.
 
     Args:
@@ -26,7 +26,7 @@
         self._instance = instance
         self._availability_zone = availability_zone
         self._failures_by_id: dict[str, int] = {}
-        self._back_at_by_id: dict[str, float] = {}
+        self._cooldown_until_by_id: dict[str, float] = {}
 
     def pick(
         self,
@@ -45,34 +45,34 @@
         """
         best: tuple[bool, int, str] | None = None
         for peer, zone in zones_by_id.items():
-            if peer in excluded or now < self._back_at_by_id.get(peer, 0.0):
+            if peer in excluded or now < self._cooldown_until_by_id.get(peer, 0.0):
                 continue
             rank = (zone == self._availability_zone, calls_by_id.get(peer, 0), peer)
             if best is None or rank < best:
                 best = rank
         return None if best is None else best[2]
 
-    def helped(self, peer: str) -> None:
+    def record_success(self, peer: str) -> None:
         """Note that ``peer`` reaches the platform."""
         self._failures_by_id.pop(peer, None)
-        self._back_at_by_id.pop(peer, None)
+        self._cooldown_until_by_id.pop(peer, None)
 
-    def failed(self, peer: str, now: float) -> None:
+    def record_failure(self, peer: str, now: float) -> None:
         """Note that ``peer`` could not help."""
         failures = self._failures_by_id.get(peer, 0) + 1
         self._failures_by_id[peer] = failures
-        self._back_at_by_id[peer] = now + wait_s(
-            failures, 1.0, FIRST_SIT_OUT_S, MOST_SIT_OUT_S
+        self._cooldown_until_by_id[peer] = now + backoff_s(
+            failures, 1.0, BASE_COOLDOWN_S, MAX_COOLDOWN_S
         )
 
-    def to_open(self, live_by_zone: Mapping[str, Iterable[str]]) -> list[str]:
+    def peers_to_connect(self, live_by_zone: Mapping[str, Iterable[str]]) -> list[str]:
         """Return peers elsewhere that this instance should have streams to.
 
         Each instance of a zone that is cut off gets others, so that the load spreads.
         """
         zones = set(live_by_zone) - {self._availability_zone, ""}
         chosen: list[str] = []
-        while zones and len(chosen) < STREAMS_ELSEWHERE:
+        while zones and len(chosen) < OTHER_ZONE_STREAMS:
             zone = owner(self._instance, zones)
             assert zone is not None
             zones.discard(zone)
--- a/src/caperridge/decisions/retry_budget.py
+++ b/src/caperridge/decisions/retry_budget.py
@@ -3,8 +3,8 @@
 Without it, a fleet that fails from overload gets several times its load in retries.
 """
 
-SHARE = 0.1
-MOST = 10.0
+RETRY_RATIO = 0.1
+MAX_BURST = 10.0
 
 
 class RetryBudget:
@@ -13,7 +13,7 @@
     A stream that has begun may overdraw the budget: to cut an answer that the caller
     reads already is the worst that a refusal can do.
 
-    >>> budget = RetryBudget(share=0.5, most=1.0)
+    >>> budget = RetryBudget(ratio=0.5, max_burst=1.0)
     >>> budget.take(), budget.take(), budget.take(begun=True)
     (True, False, True)
     >>> for _ in range(4):
@@ -26,16 +26,18 @@
         most: retries that may follow at once after a quiet time.
     """
 
-    __slots__ = ("_most", "_share", "level")
+    __slots__ = ("_max_burst", "_ratio", "level")
 
-    def __init__(self, share: float = SHARE, most: float = MOST) -> None:
-        self._share = share
-        self._most = most
-        self.level = most
+    def __init__(
+        self, ratio: float = RETRY_RATIO, max_burst: float = MAX_BURST
+    ) -> None:
+        self._ratio = ratio
+        self._max_burst = max_burst
+        self.level = max_burst
 
     def deposit(self) -> None:
         """Note one call."""
-        self.level = min(self._most, self.level + self._share)
+        self.level = min(self._max_burst, self.level + self._ratio)
 
     def take(self, begun: bool = False) -> bool:
         """Return whether one retry is left, and take it.
@@ -43,7 +45,7 @@
         Args:
             begun: the caller has seen a part of the answer.
         """
-        least = 1.0 - self._most if begun else 1.0
+        least = 1.0 - self._max_burst if begun else 1.0
         if self.level < least:
             return False
         self.level -= 1.0
--- a/src/caperridge/decisions/service_policy.py
+++ b/src/caperridge/decisions/service_policy.py
@@ -1,9 +1,9 @@
 """What is learnt of one service: its retry budget, and how long to wait for it."""
 
 from caperridge.decisions.patience import (
-    Patience,
-    between_events_patience,
-    first_event_patience,
+    AdaptiveTimeout,
+    first_event_timeout,
+    inter_event_timeout,
 )
 from caperridge.decisions.retry_budget import RetryBudget
 from caperridge.records import Record
@@ -34,8 +34,8 @@
 
     def __init__(self) -> None:
         self.budget = RetryBudget(RETRY_SHARE, MOST_RETRIES)
-        self.first: Patience = first_event_patience()
-        self.between: Patience = between_events_patience()
+        self.first: AdaptiveTimeout = first_event_timeout()
+        self.between: AdaptiveTimeout = inter_event_timeout()
 
     def limits(
         self, failed: int, tokens: int, expected_wait_s: float, alone: bool
@@ -54,10 +54,10 @@
         True
         """
         # Each move doubles the patience: if all are slow, moving does not help.
-        first_s = self.first.limit_s() * 2**failed
+        first_s = self.first.timeout_s() * 2**failed
         first_s += PREFILL_PATIENCE_S * tokens
         first_s += EXPECTED_PATIENCE * expected_wait_s
-        between_s = self.between.limit_s() * 2**failed
+        between_s = self.between.timeout_s() * 2**failed
         if alone:
             return Limits(max(first_s, ALONE_S), max(between_s, ALONE_S))
         return Limits(first_s, between_s)
--- a/src/caperridge/decisions/turn_rate.py
+++ b/src/caperridge/decisions/turn_rate.py
@@ -7,18 +7,18 @@
 
 from math import exp
 
-FADES_S = 5.0
-KNOWN_AFTER_S = 1.0
+DECAY_S = 5.0
+MIN_OBSERVED_S = 1.0
 
 
-class TurnRate:
+class DequeueRate:
     """The rate of turns of one queue.
 
-    >>> rate = TurnRate()
-    >>> rate.look(0.0, waiting=True)
+    >>> rate = DequeueRate()
+    >>> rate.observe(0.0, waiting=True)
     >>> for _ in range(4):
-    ...     rate.turn(2.0, waiting=True)
-    >>> round(rate.turn_s(2.0), 1)
+    ...     rate.record_dequeue(2.0, waiting=True)
+    >>> round(rate.interval_s(2.0), 1)
     0.3
     """
 
@@ -30,27 +30,27 @@
         self._turns = 0.0
         self._waiting = False
 
-    def look(self, now: float, waiting: bool) -> None:
+    def observe(self, now: float, waiting: bool) -> None:
         """Note whether somebody waits from ``now`` on."""
         if self._waiting:
-            kept = exp(-max(0.0, now - self._at) / FADES_S)
-            self._seconds = self._seconds * kept + FADES_S * (1.0 - kept)
+            kept = exp(-max(0.0, now - self._at) / DECAY_S)
+            self._seconds = self._seconds * kept + DECAY_S * (1.0 - kept)
             self._turns *= kept
         self._at = now
         self._waiting = waiting
 
-    def turn(self, now: float, waiting: bool) -> None:
+    def record_dequeue(self, now: float, waiting: bool) -> None:
         """Note that one got its turn, and whether others still wait."""
-        self.look(now, waiting)
+        self.observe(now, waiting)
         self._turns += 1.0
 
-    def turn_s(self, now: float) -> float:
+    def interval_s(self, now: float) -> float:
         """Return the seconds for one turn; 0 while too little is known.
 
         The turn that is under way counts as one, so that a service that gives none
         is known for slow without being given up for good.
         """
-        self.look(now, self._waiting)
-        if self._seconds < KNOWN_AFTER_S:
+        self.observe(now, self._waiting)
+        if self._seconds < MIN_OBSERVED_S:
             return 0.0
         return self._seconds / (self._turns + 1.0)
--- a/src/caperridge/gateway/edge.py
+++ b/src/caperridge/gateway/edge.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from caperridge.decisions.admission import CallerAges
+from caperridge.decisions.admission import CallerWaits
 from caperridge.gateway.answer_limits import AnswerLimits
 from caperridge.gateway.configuration import ConfigurationInForce
 from caperridge.gateway.dialect import DecodeError, Dialect
@@ -87,7 +87,7 @@
         self._running_by_number: dict[int, RunningRequest] = {}
         self._numbers = itertools.count()
         self._last_arrival = 0.0
-        self._ages_by_route: dict[str, CallerAges] = {}
+        self._ages_by_route: dict[str, CallerWaits] = {}
 
     @property
     def running(self) -> int:
@@ -251,8 +251,8 @@
         """Return how long the caller has been waiting since its first try."""
         if not deadline_ms.isdigit():
             return 0.0
-        ages = self._ages_by_route.setdefault(route.name, CallerAges())
-        return ages.age_s(int(deadline_ms))
+        ages = self._ages_by_route.setdefault(route.name, CallerWaits())
+        return ages.waited_s(int(deadline_ms))
 
     def _given_up(self, request: web.Request, given_up: GivenUp) -> web.Response:
         if given_up.not_run:
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -12,9 +12,9 @@
 from result import Err
 
 from caperridge.decisions.admission import (
-    ends_in_time,
-    most_queued,
-    return_after_s,
+    finishes_in_time,
+    max_queued,
+    retry_delay_s,
 )
 from caperridge.decisions.suspects import QUARANTINE_THRESHOLD
 from caperridge.gateway.answer_limits import AnswerLimits
@@ -169,7 +169,7 @@
             self._fleet.occupancy,
             self._fleet.zone,
             self._fleet.chance,
-            lambda one: most_queued(online_s, one.slots, left_s),
+            lambda one: max_queued(online_s, one.slots, left_s),
         )
         if target is not None:
             return target
@@ -192,10 +192,12 @@
         lengths = self._fleet.lengths(service)
         careful = now >= self._limits.careful_from
         longest_s = lengths.longest_s if careful else 0.0
-        return not ends_in_time(lengths.online_s, longest_s, self._limits.until - now)
+        return not finishes_in_time(
+            lengths.online_s, longest_s, self._limits.until - now
+        )
 
     def _return_after_s(self, request: InboundRequest, now: float) -> float:
-        return return_after_s(request.deadline - now, self._fleet.chance.random())
+        return retry_delay_s(request.deadline - now, self._fleet.chance.random())
 
     async def _offer(
         self,
--- a/src/caperridge/instance/attempts.py
+++ b/src/caperridge/instance/attempts.py
@@ -77,8 +77,8 @@
         return {
             name: {
                 "retry_budget": policy.budget.level,
-                "first_event_limit_s": policy.first.limit_s(),
-                "between_events_limit_s": policy.between.limit_s(),
+                "first_event_limit_s": policy.first.timeout_s(),
+                "between_events_limit_s": policy.between.timeout_s(),
             }
             for name, policy in self._policies_by_service.items()
         }
--- a/src/caperridge/instance/dispatcher.py
+++ b/src/caperridge/instance/dispatcher.py
@@ -181,7 +181,7 @@
         if not work.items_by_index:
             self._finish(work)
             return
-        self._board.meter(work.job.service).started(now)
+        self._board.meter(work.job.service).start(now)
         if not self._parked:
             self._submit_all(work)
 
@@ -239,7 +239,7 @@
         service = work.job.service
         now = self._clock()
         self._checkpoints.ended(work.job.id, result.to_map(), now, irreplaceable)
-        self._board.meter(service).ended(1, now)
+        self._board.meter(service).record(1, now)
         outcome = "failed" if result.error else "completed"
         self._metrics.batch_items.labels(service, outcome).inc()
         if self._checkpoints.due(now):
--- a/src/caperridge/instance/gate.py
+++ b/src/caperridge/instance/gate.py
@@ -3,9 +3,9 @@
 import asyncio
 from collections.abc import Callable
 
-from caperridge.decisions.fair_queue import FairQueue, Waiting
+from caperridge.decisions.fair_queue import FairQueue, QueuedRequest
 from caperridge.decisions.routing import TargetPool
-from caperridge.decisions.turn_rate import TurnRate
+from caperridge.decisions.turn_rate import DequeueRate
 from caperridge.instance.metrics import Metrics
 from caperridge.instance.online_request import OnlineRequest
 from caperridge.records import Record
@@ -49,16 +49,16 @@
     def __init__(self) -> None:
         self.queue = FairQueue()
         self.waking = False
-        self.rate = TurnRate()
+        self.rate = DequeueRate()
 
     def let_through(self, now: float) -> None:
         """Note that one of those who wait has its turn."""
         self.waking = True
-        self.rate.turn(now, waiting=len(self.queue) > 0)
+        self.rate.record_dequeue(now, waiting=len(self.queue) > 0)
 
     def wait_s(self, ahead: int, now: float) -> float:
         """Return how long a request behind ``ahead`` others would wait."""
-        return self.rate.turn_s(now) * (ahead + 1)
+        return self.rate.interval_s(now) * (ahead + 1)
 
 
 class Gate:
@@ -102,7 +102,7 @@
         future: asyncio.Future[TurnedAway | None]
         future = asyncio.get_running_loop().create_future()
         caller = request.caller
-        waiting = Waiting(
+        waiting = QueuedRequest(
             request.id, caller.name, caller.share, request.deadline, future
         )
         dropped = gate.queue.push(waiting)
@@ -115,7 +115,7 @@
             if dropped is waiting:
                 return away
             _settle(dropped, away)
-        gate.rate.look(now, waiting=True)
+        gate.rate.observe(now, waiting=True)
         request.trace.add("queued", "all targets are full", ahead=len(gate.queue) - 1)
         try:
             return await self._wait(gate, request, waiting, now)
@@ -125,13 +125,13 @@
                 self.started(service.name, service.most_running)
             raise
         finally:
-            gate.rate.look(self._clock(), waiting=len(gate.queue) > 0)
+            gate.rate.observe(self._clock(), waiting=len(gate.queue) > 0)
 
     async def _wait(
         self,
         gate: ServiceGate,
         request: OnlineRequest,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         began: float,
     ) -> TurnedAway | None:
         service = request.service
@@ -184,7 +184,7 @@
         self, gate: ServiceGate, request: OnlineRequest, now: float
     ) -> TurnedAway | None:
         """Refuse at once what would wait past its deadline, by the rate of late."""
-        ahead = gate.queue.ahead_of(request.caller.name, request.caller.share)
+        ahead = gate.queue.requests_ahead(request.caller.name, request.caller.share)
         wait_s = gate.wait_s(ahead, now)
         # With nobody ahead the rate of turns is of old, and only trying renews it.
         if not ahead or now + wait_s <= request.deadline:
@@ -204,6 +204,6 @@
     )
 
 
-def _settle(waiting: Waiting, away: TurnedAway | None) -> None:
+def _settle(waiting: QueuedRequest, away: TurnedAway | None) -> None:
     if not waiting.context.done():
         waiting.context.set_result(away)
--- a/src/caperridge/instance/load_gate.py
+++ b/src/caperridge/instance/load_gate.py
@@ -6,7 +6,7 @@
 
 from caperridge.commands.orders import put_loads
 from caperridge.config.model import Service, WeightStore
-from caperridge.decisions.load_pacing import Load, may_begin, under_way
+from caperridge.decisions.load_pacing import Load, active_loads, blocked_reason
 from caperridge.decisions.reconcile import serves_online
 from caperridge.queries.orders import read_loads
 from caperridge.store.interface import ListedMember, Platform
@@ -50,13 +50,13 @@
         row, listed = read.ok_value
         loads = [
             load
-            for load in under_way(listed, store.gb_per_s, wanted.at)
+            for load in active_loads(listed, store.gb_per_s, wanted.at)
             if load.target != member.id
         ]
         # Asked after the list was read: who begins meanwhile changes the list, and
         # then this one's entry is refused.
         serving = await self._serving(member, service, others) if wanted.out else []
-        why = may_begin(loads, wanted, serving)
+        why = blocked_reason(loads, wanted, serving)
         if why:
             return why
         put = await put_loads(self._platform, store.name, row, [*loads, wanted])
--- a/src/caperridge/instance/loaded_news.py
+++ b/src/caperridge/instance/loaded_news.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from caperridge.decisions.loaded_book import LoadedBook, LoadedState
+from caperridge.decisions.loaded_book import LoadedState, LoadedStates
 from caperridge.decisions.reconcile import Loaded
 from caperridge.peers.messages import LoadedNews
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        book: LoadedBook,
+        book: LoadedStates,
         send: Callable[[LoadedNews], None],
         changed: Callable[[], None],
         clock: Callable[[], float],
@@ -37,7 +37,7 @@
         """Take over news of a peer, and pass it on if it is new here."""
         loaded = Loaded.from_map(news.loaded)
         state = LoadedState(news.fence, news.sequence, loaded, news.held)
-        known = self._book.states_by_target.get(news.target)
+        known = self._book.by_target.get(news.target)
         if not self._book.apply(news.target, state):
             return
         if known is None or known.loaded != loaded or known.held != news.held:
@@ -54,7 +54,7 @@
             loaded: what it says that it holds.
             held: whether new requests are held off it.
         """
-        known = self._book.states_by_target.get(target_id)
+        known = self._book.by_target.get(target_id)
         now = self._clock()
         told = known is not None and known.fence == fence
         told_at = self._told_at_by_target.get(target_id, float("-inf"))
--- a/src/caperridge/instance/orderer.py
+++ b/src/caperridge/instance/orderer.py
@@ -18,7 +18,7 @@
 from caperridge.commands.sessions import lapse_session
 from caperridge.config.model import Configuration, Service
 from caperridge.decisions.load_pacing import Load
-from caperridge.decisions.loaded_book import LoadedBook
+from caperridge.decisions.loaded_book import LoadedStates
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.order_leases import (
     DeclareLapsed,
@@ -108,7 +108,7 @@
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
         super().__init__()
-        self.book = LoadedBook()
+        self.book = LoadedStates()
         self.peers: Peers = NoPeers()
         self.changed: Callable[[], None] = lambda: None
         self.drain_s = DRAIN_S
@@ -146,7 +146,7 @@
         targets_by_id = {m.id: m for m in message.members if m.kind == "target"}
         if targets_by_id != self._targets_by_id:
             self._targets_by_id = targets_by_id
-            self.book.forget_all_but(set(targets_by_id))
+            self.book.retain(set(targets_by_id))
             self._look_soon()
 
     @handle.register
@@ -243,7 +243,7 @@
         for target in self._targets_by_id.values():
             if target.service != service.name or target.state == "leaving":
                 continue
-            state = self.book.states_by_target.get(target.id)
+            state = self.book.by_target.get(target.id)
             known = state is not None and not state.held
             loaded_by_target[target.id] = state.loaded if known else None
         role = role_of(member.id, service, loaded_by_target)
@@ -371,6 +371,6 @@
             },
             "loaded_by_target": {
                 target_id: state.to_map()
-                for target_id, state in self.book.states_by_target.items()
+                for target_id, state in self.book.by_target.items()
             },
         }
--- a/src/caperridge/instance/peer_dialer.py
+++ b/src/caperridge/instance/peer_dialer.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Callable
 
-from caperridge.decisions.backoff import wait_s
+from caperridge.decisions.backoff import backoff_s
 from caperridge.instance.peer_messages import DialFailed, Opened
 from caperridge.log import logger
 from caperridge.peers.connect import Connector
@@ -89,7 +89,7 @@
         if dialing is None:
             return
         dialing.failures += 1
-        dialing.due = now + wait_s(dialing.failures, self._chance.random())
+        dialing.due = now + backoff_s(dialing.failures, self._chance.random())
         if dialing.failures == 1:
             log.info("peer not reached", peer=message.key, reason=message.reason)
 
@@ -106,7 +106,7 @@
         if now - dialing.reached_at >= LASTING_S:
             dialing.failures = 0
         dialing.failures += 1
-        dialing.due = now + wait_s(dialing.failures, self._chance.random())
+        dialing.due = now + backoff_s(dialing.failures, self._chance.random())
 
     def forget_old(self, now: float) -> None:
         """Forget tries that nobody wants any more."""
--- a/src/caperridge/instance/peers.py
+++ b/src/caperridge/instance/peers.py
@@ -11,7 +11,7 @@
 from caperridge import __version__
 from caperridge.decisions.failure_detector import Evidence
 from caperridge.decisions.heartbeats import Heartbeats
-from caperridge.decisions.links import links_in
+from caperridge.decisions.links import links_for
 from caperridge.decisions.membership import Membership
 from caperridge.instance.actor import Actor
 from caperridge.instance.peer_dialer import Dialer
@@ -327,7 +327,7 @@
         if changes != self._wanted_of or now >= self._wanted_due:
             self._wanted_of = changes
             self._wanted_due = now + WANTED_S
-            self._wanted = links_in(self._membership)
+            self._wanted = links_for(self._membership)
         demanded = self._demanded(now)
         wanted = self._wanted | demanded
         for instance in wanted - self._streams.by_id.keys():
--- a/src/caperridge/instance/relay.py
+++ b/src/caperridge/instance/relay.py
@@ -8,7 +8,7 @@
 from result import Err, Result
 
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.relay_choice import RelayChoice
+from caperridge.decisions.relay_choice import RelaySelector
 from caperridge.log import logger
 from caperridge.peers.interface import PeerListener, Peers
 from caperridge.peers.messages import RelayAnswer, RelayCall
@@ -63,7 +63,7 @@
         self._membership = membership
         self._deadline_s = deadline_s
         self._clock = clock
-        self._choice = RelayChoice(membership.instance, membership.availability_zone)
+        self._choice = RelaySelector(membership.instance, membership.availability_zone)
         self._number = 0
         self._needed = False
         self._waiting_by_number: dict[int, Waiting] = {}
@@ -89,7 +89,7 @@
             outcome = await self._ask(peer, method, arguments)
             if not _came_to_nothing(outcome):
                 break
-            self._choice.failed(peer, self._clock())
+            self._choice.record_failure(peer, self._clock())
         return outcome
 
     def needed(self, cut_off: bool) -> None:
@@ -136,18 +136,18 @@
             async with asyncio.timeout(self._deadline_s + MARGIN_S):
                 outcome = await answer
         except TimeoutError:
-            self._choice.failed(peer, self._clock())
+            self._choice.record_failure(peer, self._clock())
             return Err(Unknown(f"no answer through {peer}", reached=False))
         finally:
             del self._waiting_by_number[number]
         if not _came_to_nothing(outcome):
-            self._choice.helped(peer)
+            self._choice.record_success(peer)
         return outcome
 
     def _open_streams(self) -> None:
         if not self._needed:
             return
-        for peer in self._choice.to_open(self._membership.live_by_zone()):
+        for peer in self._choice.peers_to_connect(self._membership.live_by_zone()):
             self._peers.demand(peer)
 
 
--- a/src/caperridge/measure/control.py
+++ b/src/caperridge/measure/control.py
@@ -13,7 +13,7 @@
 import tracemalloc
 from typing import Any
 
-from caperridge.decisions.links import LINKS_A_ZONE
+from caperridge.decisions.links import LINKS_PER_ZONE
 from caperridge.measure.control_fleet import (
     ControlFleet,
     rss_mb,
@@ -152,7 +152,7 @@
     base_mb: float,
 ) -> dict[str, float]:
     """Carry the changing arm's slopes to the target size."""
-    links = (TARGET_ZONES - 1) * LINKS_A_ZONE**2 / TARGET_COUNT
+    links = (TARGET_ZONES - 1) * LINKS_PER_ZONE**2 / TARGET_COUNT
     peers = TARGET_COUNT - 1 + links
     carried = {
         figure: fitted["base"]
--- a/src/caperridge/measure/routing.py
+++ b/src/caperridge/measure/routing.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from caperridge.decisions.affinity import BLOCK_TOKENS, prefix_blocks, prompt_tokens
-from caperridge.decisions.patience import first_event_patience
+from caperridge.decisions.patience import first_event_timeout
 from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.target_state import RequestProfile, TargetReport
 from caperridge.measure.admission import admission
@@ -250,10 +250,10 @@
     which favours them.
     """
     rng = random.Random(seed)
-    patience = first_event_patience()
+    patience = first_event_timeout()
     for one in first_s:
-        patience.note(one)
-    limit_s = patience.limit_s()
+        patience.record(one)
+    limit_s = patience.timeout_s()
     hedge_s = quantile(first_s, 0.95)
     firsts = [NEVER_S if rng.random() < HUNG_SHARE else one for one in first_s]
     others = rng.sample(first_s, len(first_s))
--- a/src/caperridge/measure/scarcity_model.py
+++ b/src/caperridge/measure/scarcity_model.py
@@ -9,9 +9,9 @@
 import random
 
 from caperridge.decisions.admission import (
-    BEGIN_S,
-    most_queued,
-    return_after_s,
+    START_LATENCY_S,
+    max_queued,
+    retry_delay_s,
 )
 from caperridge.gateway.jobs.schedule import order_due
 from caperridge.records import Record
@@ -224,7 +224,7 @@
             self._queue.append(caller)
             return
         deadline_left_s = caller.first_at + DEADLINE_S - self._now
-        if self._policy.late_wait_s and left_s < BEGIN_S:
+        if self._policy.late_wait_s and left_s < START_LATENCY_S:
             if not caller.patient_until:
                 caller.patient_until = self._now + self._policy.late_wait_s
             if self._now < caller.patient_until:
@@ -236,19 +236,19 @@
             return
         spread = self._chance.random()
         caller.wake_at = self._now + (
-            self._policy.return_s or return_after_s(deadline_left_s, spread)
+            self._policy.return_s or retry_delay_s(deadline_left_s, spread)
         )
 
     def _most_queued(self, left_s: float) -> int:
         targets = self._slots // 8
         if self._policy.queue is not None:
             return self._policy.queue * targets
-        return most_queued(ONLINE_S, 8, left_s) * targets
+        return max_queued(ONLINE_S, 8, left_s) * targets
 
     def _start_queued(self) -> None:
         while self._queue and len(self._ends) + len(self._orphans) < self._slots:
             caller = self._queue.pop(0)
-            if self._now - caller.first_at + BEGIN_S <= OBJECTIVE_S:
+            if self._now - caller.first_at + START_LATENCY_S <= OBJECTIVE_S:
                 self.outcome.in_time += 1
             else:
                 self.outcome.late += 1
--- a/src/caperridge/queries/facts.py
+++ b/src/caperridge/queries/facts.py
@@ -5,7 +5,7 @@
 from result import Ok
 
 from caperridge.decisions.effects import Facts, Runner
-from caperridge.decisions.loaded_book import LoadedBook
+from caperridge.decisions.loaded_book import LoadedStates
 from caperridge.queries.jobs import open_jobs
 from caperridge.store.interface import ListedMember, Platform
 
@@ -14,7 +14,7 @@
     platform: Platform,
     operator: str,
     targets: Iterable[ListedMember],
-    book: LoadedBook,
+    book: LoadedStates,
 ) -> Facts:
     """Return the facts as this instance knows them.
 
@@ -28,7 +28,7 @@
     for member in targets:
         if member.state == "leaving":
             continue
-        state = book.states_by_target.get(member.id)
+        state = book.by_target.get(member.id)
         loaded = state.loaded if state is not None else None
         runners.append(Runner(member.id, member.service, member.region, loaded))
     runners.sort(key=lambda runner: runner.id)
--- a/src/caperridge/queries/orders.py
+++ b/src/caperridge/queries/orders.py
@@ -3,7 +3,7 @@
 from result import Err, Ok, Result
 
 from caperridge import keys
-from caperridge.decisions.load_pacing import Load, loads_of
+from caperridge.decisions.load_pacing import Load, parse_loads
 from caperridge.decisions.order_leases import OrderRow, SessionSeen
 from caperridge.records import Record
 from caperridge.store.interface import Platform, ReadError, Row
@@ -54,4 +54,4 @@
     if isinstance(found, Err):
         return found
     row = found.ok_value.get(key)
-    return Ok((row, loads_of(row.value if row else None)))
+    return Ok((row, parse_loads(row.value if row else None)))
--- a/tests/online/conftest.py
+++ b/tests/online/conftest.py
@@ -13,7 +13,7 @@
 
 from caperridge.config.model import Caller, Configuration, Model, Service
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.patience import Patience
+from caperridge.decisions.patience import AdaptiveTimeout
 from caperridge.decisions.routing import TargetPool
 from caperridge.instance.completions_http import CompletionsHttp
 from caperridge.instance.held_requests import HeldRequests
@@ -305,8 +305,8 @@
         front = Front(engines, http)
         front.address = await listen(front.app())
         policy = front.online.attempts.policy("chat")
-        policy.first = Patience(0.95, 3.0, 0.3, 30.0, cold_s=0.3)
-        policy.between = Patience(0.95, 3.0, 0.3, 30.0, cold_s=0.3)
+        policy.first = AdaptiveTimeout(0.95, 3.0, 0.3, 30.0, initial_s=0.3)
+        policy.between = AdaptiveTimeout(0.95, 3.0, 0.3, 30.0, initial_s=0.3)
         yield front
     await engines.close()
 
--- a/tests/online/test_fault_table.py
+++ b/tests/online/test_fault_table.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from caperridge.decisions.patience import Patience
+from caperridge.decisions.patience import AdaptiveTimeout
 from caperridge.standins.engine import Engine
 from conftest import Listen
 from online.conftest import TOKENS, FaultyTarget, Front
@@ -49,8 +49,8 @@
     front.headers["Timeout"] = str(DEADLINE_S)
     monkeypatch.setattr("caperridge.targets.engine.LONGEST_CONNECT_S", PATIENT_S)
     policy = front.online.attempts.policy("chat")
-    policy.first = Patience(0.95, 3.0, PATIENT_S, 30.0, cold_s=PATIENT_S)
-    policy.between = Patience(0.95, 3.0, PATIENT_S, 30.0, cold_s=PATIENT_S)
+    policy.first = AdaptiveTimeout(0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S)
+    policy.between = AdaptiveTimeout(0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S)
 
 
 async def add_faulty(front: Front, listen: Listen, fault: str) -> FaultyTarget:
--- a/tests/online/test_policy_machine.py
+++ b/tests/online/test_policy_machine.py
@@ -18,7 +18,7 @@
 )
 
 from caperridge.config.model import Caller
-from caperridge.decisions.fair_queue import FairQueue, Waiting
+from caperridge.decisions.fair_queue import FairQueue, QueuedRequest
 from caperridge.decisions.limit_share import Seat
 from caperridge.decisions.limits import BURST_S, Limits
 from caperridge.decisions.progress import MOST_ATTEMPTS, Progress
@@ -121,7 +121,9 @@
         if not len(self.queue) and self.has_room():
             self.start(request)
             return
-        waiting = Waiting("r", caller, CALLERS[caller].share, request.deadline, request)
+        waiting = QueuedRequest(
+            "r", caller, CALLERS[caller].share, request.deadline, request
+        )
         dropped = self.queue.push(waiting)
         if dropped is not None:
             self.limits.ended(dropped.caller)
--- a/tests/online/test_requests.py
+++ b/tests/online/test_requests.py
@@ -6,13 +6,13 @@
 
 from caperridge.config.model import Caller
 from caperridge.decisions.affinity import BLOCK_TOKENS, prefix_blocks
-from caperridge.decisions.fair_queue import FairQueue, Waiting
+from caperridge.decisions.fair_queue import FairQueue, QueuedRequest
 from caperridge.decisions.limit_share import Seat, seat_of, share_at_once
 from caperridge.decisions.limits import Limits
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.target_state import RequestProfile, TargetReport
-from caperridge.decisions.turn_rate import TurnRate
+from caperridge.decisions.turn_rate import DequeueRate
 from caperridge.instance.target_reports import TargetReports
 from caperridge.instance.traces import Traces
 from caperridge.peers.interface import NoPeers
@@ -80,7 +80,7 @@
     target = FaultyTarget("hung")
     front.add("hung", await listen(target.app()))
     policy = front.online.attempts.policy("chat")
-    policy.first._cold_s = 5.0
+    policy.first._initial_s = 5.0
     front.headers["X-Deadline-Ms"] = "600"
     asks = [asyncio.create_task(front.ask(stream=False)) for _ in range(5)]
     await until(lambda: target.runs == 5)
@@ -115,7 +115,7 @@
 ) -> None:
     target = FaultyTarget("hung in the stream")
     front.add("hung", await listen(target.app()))
-    front.online.attempts.policy("chat").between._cold_s = 30.0
+    front.online.attempts.policy("chat").between._initial_s = 30.0
     ask = asyncio.create_task(front.ask(stream=True))
     await until(lambda: front.online.in_flight == 1 and target.runs == 1)
     ask.cancel()
@@ -263,8 +263,8 @@
 def test_a_full_queue_is_shared_by_weight() -> None:
     queue = FairQueue(most_waiting=40)
     for number in range(60):
-        queue.push(Waiting(f"h{number}", "heavy", 3.0, 1e9))
-        queue.push(Waiting(f"l{number}", "light", 1.0, 1e9))
+        queue.push(QueuedRequest(f"h{number}", "heavy", 3.0, 1e9))
+        queue.push(QueuedRequest(f"l{number}", "light", 1.0, 1e9))
     served = [queue.pop(0.0)[0].caller for _ in range(20)]
     assert served.count("heavy") == pytest.approx(15, abs=1)
     assert {queue.pop(0.0)[0].caller for _ in range(20)} == {"heavy", "light"}
@@ -376,11 +376,11 @@
 def test_turns_are_counted_against_the_time_waited(
     turns_at: list[float], now: float, least_s: float, most_s: float
 ) -> None:
-    rate = TurnRate()
-    rate.look(0.0, waiting=True)
+    rate = DequeueRate()
+    rate.observe(0.0, waiting=True)
     for at in turns_at:
-        rate.turn(at, waiting=True)
-    assert least_s <= rate.turn_s(now) <= most_s
+        rate.record_dequeue(at, waiting=True)
+    assert least_s <= rate.interval_s(now) <= most_s
 
 
 @pytest.mark.parametrize(("instances", "limit"), [(3, 10), (23, 24), (23, 100), (3, 3)])
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -5,8 +5,13 @@
 
 from caperridge.commands.orders import release_target, take_target
 from caperridge.config.model import Service
-from caperridge.decisions.load_pacing import MOST_LOADS, Load, may_begin, under_way
-from caperridge.decisions.loaded_book import LoadedBook, LoadedState
+from caperridge.decisions.load_pacing import (
+    MAX_LOADS,
+    Load,
+    active_loads,
+    blocked_reason,
+)
+from caperridge.decisions.loaded_book import LoadedState, LoadedStates
 from caperridge.decisions.order_leases import (
     DeclareLapsed,
     OrderLease,
@@ -130,23 +135,23 @@
         ([load("r2")], ["r3"], "another runner of chat is away"),
         ([load("x1", "tags")], ["r2"], ""),
         (
-            [load(f"x{n}", f"s{n}") for n in range(MOST_LOADS)],
+            [load(f"x{n}", f"s{n}") for n in range(MAX_LOADS)],
             ["r2"],
-            f"{MOST_LOADS} loads share the weight store already",
+            f"{MAX_LOADS} loads share the weight store already",
         ),
     ],
 )
 def test_when_a_load_may_begin(loads: list[Load], serving: list[str], why: str) -> None:
-    assert may_begin(loads, load("r1"), serving) == why
+    assert blocked_reason(loads, load("r1"), serving) == why
 
 
 def test_a_load_whose_orderer_was_lost_is_given_up() -> None:
-    assert under_way([load("r1")], 1.0, 150.0) == [load("r1")]
-    assert under_way([load("r1")], 1.0, 201.0) == []
+    assert active_loads([load("r1")], 1.0, 150.0) == [load("r1")]
+    assert active_loads([load("r1")], 1.0, 201.0) == []
 
 
 def test_older_news_of_a_target_are_ignored() -> None:
-    book = LoadedBook()
+    book = LoadedStates()
     assert book.apply("r1", LoadedState(2, 5, NORTH_1, held=True))
     assert not book.apply("r1", LoadedState(1, 9, NORTH_2))
     assert not book.apply("r1", LoadedState(2, 5, NORTH_2))
@@ -156,8 +161,8 @@
     assert book.closed_to_batch("r1")
     assert book.apply("r1", LoadedState(3, 1, NORTH_2))
     assert not book.closed_to_online("r1", service)
-    book.forget_all_but({"r2"})
-    assert not book.states_by_target
+    book.retain({"r2"})
+    assert not book.by_target
 
 
 @pytest.fixture
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -22,7 +22,7 @@
     FailureDetector,
 )
 from caperridge.decisions.heartbeats import STARTUP_S, Heartbeats
-from caperridge.decisions.links import LINKS_A_ZONE, wanted_links
+from caperridge.decisions.links import LINKS_PER_ZONE, desired_links
 from caperridge.decisions.membership import (
     LISTED_GRACE_PERIOD_S,
     OTHER_ZONE_SILENCE_S,
@@ -190,7 +190,7 @@
     known = {z: [f"{z}-{n:02}" for n in range(23)] for z in "abcdefghijklmnopq"}
     everyone = {i for members in known.values() for i in members}
     wanted = {
-        instance: wanted_links(
+        instance: desired_links(
             instance,
             instance[0],
             {z: [i for i in ids if i != instance] for z, ids in known.items()},
@@ -204,7 +204,7 @@
             instance
         }
     elsewhere = sum(sum(p[0] != i[0] for p in peers) for i, peers in wanted.items())
-    assert elsewhere == 17 * 16 * LINKS_A_ZONE**2
+    assert elsewhere == 17 * 16 * LINKS_PER_ZONE**2
 
 
 class Node:
--- a/tests/peers/test_relay.py
+++ b/tests/peers/test_relay.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.relay_choice import FIRST_SIT_OUT_S, RelayChoice
+from caperridge.decisions.relay_choice import BASE_COOLDOWN_S, RelaySelector
 from caperridge.instance.relay import (
     MOST_CALLS_IN,
     MOST_RELAYED_BYTES,
@@ -288,14 +288,16 @@
 
 
 def test_a_relay_elsewhere_is_preferred_and_a_failed_one_sits_out() -> None:
-    choice = RelayChoice("a", "oviedo")
+    choice = RelaySelector("a", "oviedo")
     zones = {"b": "oviedo", "c": "bilbao", "d": "santander"}
     assert choice.pick(zones, {}, [], 0.0) == "c"
     assert choice.pick(zones, {"c": 1}, [], 0.0) == "d"
-    choice.failed("c", 0.0)
+    choice.record_failure("c", 0.0)
     assert choice.pick(zones, {}, ["d"], 0.0) == "b"
-    assert choice.pick(zones, {}, [], FIRST_SIT_OUT_S) == "c"
-    opened = choice.to_open({"oviedo": ["a"], "bilbao": ["c"], "santander": ["d"]})
+    assert choice.pick(zones, {}, [], BASE_COOLDOWN_S) == "c"
+    opened = choice.peers_to_connect(
+        {"oviedo": ["a"], "bilbao": ["c"], "santander": ["d"]}
+    )
     assert sorted(opened) == ["c", "d"]
 
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -19,13 +19,13 @@
 from hypothesis import strategies as st
 
 from caperridge.decisions.admission import (
-    BEGIN_S,
-    DEADLINES_KEPT,
-    FIRST_QUEUE,
-    HONOURED_SHARE,
-    CallerAges,
-    most_queued,
-    return_after_s,
+    INITIAL_QUEUE_LIMIT,
+    MAX_DEADLINES,
+    RETRY_DELAY_RATIO,
+    START_LATENCY_S,
+    CallerWaits,
+    max_queued,
+    retry_delay_s,
 )
 from caperridge.measure.scarcity_model import CONSTANTS, Outcome, Play, Policy
 
@@ -50,16 +50,16 @@
 def test_whoever_is_let_in_begins_in_time(
     online_s: float, slots: int, left_s: float
 ) -> None:
-    queued = most_queued(online_s, slots, left_s)
+    queued = max_queued(online_s, slots, left_s)
     assert queued >= 0
     if queued:
-        assert queued * online_s / slots + BEGIN_S <= left_s + 1e-6
-    if left_s >= BEGIN_S:
-        assert (queued + 1) * online_s / slots + BEGIN_S >= left_s - 1e-6
+        assert queued * online_s / slots + START_LATENCY_S <= left_s + 1e-6
+    if left_s >= START_LATENCY_S:
+        assert (queued + 1) * online_s / slots + START_LATENCY_S >= left_s - 1e-6
 
 
 def test_a_queue_is_let_be_before_anything_is_known() -> None:
-    assert most_queued(0.0, 8, 0.3) == FIRST_QUEUE
+    assert max_queued(0.0, 8, 0.3) == INITIAL_QUEUE_LIMIT
 
 
 @pytest.mark.parametrize(
@@ -76,8 +76,8 @@
 def test_who_says_less_time_than_others_has_tried_before(
     stated_ms: list[int], ages_s: list[float]
 ) -> None:
-    ages = CallerAges()
-    found = [ages.age_s(one) for one in stated_ms]
+    ages = CallerWaits()
+    found = [ages.waited_s(one) for one in stated_ms]
     if len(set(stated_ms)) == len(stated_ms):
         # The first few stand alone; what counts is what is said of them in the end.
         found, ages_s = found[3:], ages_s[3:]
@@ -85,25 +85,25 @@
 
 
 def test_what_is_usual_follows_a_change_of_what_callers_say() -> None:
-    ages = CallerAges()
-    for _ in range(DEADLINES_KEPT):
-        ages.age_s(5000)
-    for _ in range(DEADLINES_KEPT):
-        ages.age_s(2000)
-    assert ages.age_s(2000) == 0.0
-    assert ages.age_s(5000) == 0.0
+    ages = CallerWaits()
+    for _ in range(MAX_DEADLINES):
+        ages.waited_s(5000)
+    for _ in range(MAX_DEADLINES):
+        ages.waited_s(2000)
+    assert ages.waited_s(2000) == 0.0
+    assert ages.waited_s(5000) == 0.0
 
 
 @given(left_s=st.floats(0.0, 60.0), chance=st.floats(0.0, 1.0))
 def test_callers_follow_when_they_are_told_to_return(
     left_s: float, chance: float
 ) -> None:
-    assert 0.0 <= return_after_s(left_s, chance) <= left_s * HONOURED_SHARE + 1e-9
+    assert 0.0 <= retry_delay_s(left_s, chance) <= left_s * RETRY_DELAY_RATIO + 1e-9
 
 
 def test_those_refused_at_once_do_not_return_at_once() -> None:
     chance = random.Random(1)
-    returns = sorted(return_after_s(5.0, chance.random()) for _ in range(100))
+    returns = sorted(retry_delay_s(5.0, chance.random()) for _ in range(100))
     assert returns[-1] - returns[0] > 0.4
 
 
