--- a/src/caperridge/decisions/batch_share.py
+++ b/src/caperridge/decisions/batch_share.py
@@ -7,7 +7,7 @@
 
 import math
 
-from caperridge.decisions.step_time import Line
+from caperridge.decisions.step_time import LinearFit
 from caperridge.records import Record
 
 TAIL_SLOWDOWN = 1.02
@@ -32,7 +32,7 @@
 
 
 def most_streams(
-    line: Line | None, tail_online: int, full: int, batch_weight: float
+    line: LinearFit | None, tail_online: int, full: int, batch_weight: float
 ) -> float:
     """Return how many streams, online and batch, may run in one step.
 
@@ -42,7 +42,7 @@
         full: places of the target.
         batch_weight: the trade of the service.
 
-    >>> most_streams(Line(0.025, 0.0005), 10, 10, 0.0)
+    >>> most_streams(LinearFit(0.025, 0.0005), 10, 10, 0.0)
     11.2
     """
     if line is None or line.stream_s <= 0 or tail_online <= 0:
@@ -52,16 +52,16 @@
     return round((longest_s - line.base_s) / line.stream_s, 3)
 
 
-def tail_alone(line: Line, tail_online: int, full: int) -> float:
+def tail_alone(line: LinearFit, tail_online: int, full: int) -> float:
     """Return the concurrency that online would have had at its tail without batch.
 
     Longer steps keep each request longer, so batch raises the concurrency that it is
     measured by; without this correction it would allow itself more and more. By
     Little's law the concurrency is as the step time.
 
-    >>> tail_alone(Line(0.04, 0.002), 20, 24)
+    >>> tail_alone(LinearFit(0.04, 0.002), 20, 24)
     16.667
-    >>> tail_alone(Line(0.04, 0.002), 20, 20)
+    >>> tail_alone(LinearFit(0.04, 0.002), 20, 20)
     20.0
     """
     beside = full - tail_online
--- a/src/caperridge/decisions/burst.py
+++ b/src/caperridge/decisions/burst.py
@@ -9,44 +9,44 @@
 import math
 from collections import deque
 
-LONGEST_HOLD_S = 1.0
-MEMORY_S = 2.0
+MAX_HOLD_S = 1.0
+ARRIVALS_WINDOW_S = 2.0
 HALF_LIFE_S = 30.0
-TAIL = 0.95
+TAIL_QUANTILE = 0.95
 _RENORMALISE_AT = 1e9
 
 
-class RecentMost:
+class SlidingMaximum:
     """The greatest value within a window that moves with the clock.
 
-    >>> most = RecentMost(10.0)
-    >>> most.note(5, now=0.0)
-    >>> most.note(3, now=4.0)
-    >>> most.value(9.0), most.value(11.0), most.value(20.0)
+    >>> maximum = SlidingMaximum(10.0)
+    >>> maximum.add(5, now=0.0)
+    >>> maximum.add(3, now=4.0)
+    >>> maximum.value(9.0), maximum.value(11.0), maximum.value(20.0)
     (5, 3, 0)
 
     Args:
         window_s: the longest window that may be asked for.
     """
 
-    __slots__ = ("_falling", "_window_s")
+    __slots__ = ("_candidates", "_window_s")
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._falling: deque[tuple[float, int]] = deque()
+        self._candidates: deque[tuple[float, int]] = deque()
 
-    def note(self, value: int, now: float) -> None:
+    def add(self, value: int, now: float) -> None:
         """Add a value."""
-        while self._falling and self._falling[-1][1] <= value:
-            self._falling.pop()
-        self._falling.append((now, value))
+        while self._candidates and self._candidates[-1][1] <= value:
+            self._candidates.pop()
+        self._candidates.append((now, value))
 
     def value(self, now: float, window_s: float | None = None) -> int:
         """Return the greatest value of the window, or of a shorter one; or 0."""
-        while self._falling and self._falling[0][0] < now - self._window_s:
-            self._falling.popleft()
+        while self._candidates and self._candidates[0][0] < now - self._window_s:
+            self._candidates.popleft()
         since = now - (self._window_s if window_s is None else window_s)
-        for at, value in self._falling:
+        for at, value in self._candidates:
             if at >= since:
                 return value
         return 0
@@ -65,8 +65,8 @@
 
     __slots__ = (
         "_arrivals",
-        "_most_arrivals",
-        "_most_online",
+        "_max_arrivals",
+        "_max_online",
         "_noted_at",
         "_scale",
         "_weights_by_online",
@@ -74,17 +74,17 @@
         "online",
     )
 
-    def __init__(self, memory_s: float = MEMORY_S) -> None:
+    def __init__(self, arrivals_window_s: float = ARRIVALS_WINDOW_S) -> None:
         self.online = 0
         self.arrived_at = -math.inf
         self._noted_at = 0.0
-        self._most_online = RecentMost(LONGEST_HOLD_S)
-        self._most_arrivals = RecentMost(memory_s)
+        self._max_online = SlidingMaximum(MAX_HOLD_S)
+        self._max_arrivals = SlidingMaximum(arrivals_window_s)
         self._arrivals: deque[float] = deque()
         self._weights_by_online: dict[int, float] = {}
         self._scale = 1.0
 
-    def note(self, online: int, reaction_s: float, now: float) -> None:
+    def record(self, online: int, reaction_s: float, now: float) -> None:
         """Note that ``online`` requests run now.
 
         Args:
@@ -95,28 +95,28 @@
         self._weigh(now)
         if online < self.online:
             # The level that ended now counts as seen up to now.
-            self._most_online.note(self.online, now)
+            self._max_online.add(self.online, now)
         for _ in range(online - self.online):
             self._arrivals.append(now)
         while self._arrivals and self._arrivals[0] < now - reaction_s:
             self._arrivals.popleft()
         if online > self.online:
             self.arrived_at = now
-            self._most_arrivals.note(len(self._arrivals), now)
+            self._max_arrivals.add(len(self._arrivals), now)
         self.online = online
 
-    def most_online(self, now: float, hold_s: float) -> int:
+    def max_online(self, now: float, hold_s: float) -> int:
         """Return the most requests that ran at once within ``hold_s``."""
-        return max(self.online, self._most_online.value(now, hold_s))
+        return max(self.online, self._max_online.value(now, hold_s))
 
-    def most_arrivals(self, now: float) -> int:
+    def max_arrivals(self, now: float) -> int:
         """Return the most arrivals remembered within one reaction time."""
-        return self._most_arrivals.value(now)
+        return self._max_arrivals.value(now)
 
     def tail_online(self, now: float) -> int:
         """Return the concurrency below which 95 in 100 online tokens were made."""
         self._weigh(now)
-        left = TAIL * sum(self._weights_by_online.values())
+        left = TAIL_QUANTILE * sum(self._weights_by_online.values())
         for online, weight in sorted(self._weights_by_online.items()):
             left -= weight
             if left <= 0:
--- a/src/caperridge/decisions/headroom.py
+++ b/src/caperridge/decisions/headroom.py
@@ -58,17 +58,19 @@
             self._runners_by_target[target] = runner
         return runner
 
-    def acquire_target(self, target: str, now: float, alone: bool = False) -> None:
+    def acquire_target(
+        self, target: str, now: float, sole_instance: bool = False
+    ) -> None:
         """Become the dispatcher of ``target``; ``alone``: no other instance lives."""
         runner = self.runner(target)
-        runner.owned_since = now - self._settle_s if alone else now
-        runner.peers = not alone
+        runner.owned_since = now - self._settle_s if sole_instance else now
+        runner.peers = not sole_instance
         runner.peers_until = now + PEER_RESERVE_S
 
-    def update_peers(self, alone: bool) -> None:
+    def update_peers(self, sole_instance: bool) -> None:
         """Note whether other instances live, whose news comes with a delay."""
         for runner in self._runners_by_target.values():
-            runner.peers = not alone
+            runner.peers = not sole_instance
 
     def release_target(self, target: str) -> None:
         """No longer be the dispatcher of ``target``: what is known goes stale."""
@@ -149,7 +151,7 @@
         """
         runner = self.runner(target)
         hold_s = runner.hold_s(batch_weight, now)
-        online = max(runner.online(now), runner.burst.most_online(now, hold_s))
+        online = max(runner.online(now), runner.burst.max_online(now, hold_s))
         return self._left(runner, online, most_running, batch_weight, now)
 
     def to_start(
@@ -219,7 +221,7 @@
             shown[target] = {
                 "online": runner.online(now),
                 "senders": runner.counts.senders(),
-                "most_arrivals": runner.burst.most_arrivals(now),
+                "most_arrivals": runner.burst.max_arrivals(now),
                 "tail_online": runner.burst.tail_online(now),
                 "step": None if line is None else line.to_map(),
                 "taken_by_guard": runner.guard.taken(now),
@@ -244,7 +246,7 @@
             return 0
         reserve = 0
         if runner.peers_send(now):
-            arrivals = runner.burst.most_arrivals(now)
+            arrivals = runner.burst.max_arrivals(now)
             reserve = _reserve(arrivals, most_running, batch_weight)
         full = most_running - reserve - runner.guard.taken(now)
         tail = runner.burst.tail_online(now)
--- a/src/caperridge/decisions/limit_share.py
+++ b/src/caperridge/decisions/limit_share.py
@@ -7,7 +7,7 @@
 from caperridge.records import Record
 
 
-class Seat(Record):
+class LimitShare(Record):
     """The place of one instance among those that share the limits.
 
     Attributes:
@@ -15,24 +15,24 @@
         place: of this one in the order of their ids.
     """
 
-    __slots__ = ("instances", "place")
+    __slots__ = ("instances", "position")
 
-    def __init__(self, instances: int = 1, place: int = 0) -> None:
+    def __init__(self, instances: int = 1, position: int = 0) -> None:
         self.instances = max(1, instances)
-        self.place = place
+        self.position = position
 
 
-def seat_of(instance: str, live: Iterable[str]) -> Seat:
+def limit_share_of(instance: str, live: Iterable[str]) -> LimitShare:
     """Return the seat of ``instance`` among ``live`` ones.
 
-    >>> seat_of("b", ["c", "a"])
-    Seat(instances=3, place=1)
+    >>> limit_share_of("b", ["c", "a"])
+    LimitShare(instances=3, position=1)
     """
     ordered = sorted({*live, instance})
-    return Seat(len(ordered), ordered.index(instance))
+    return LimitShare(len(ordered), ordered.index(instance))
 
 
-def share_at_once(caller: str, limit: int, seat: Seat) -> int:
+def concurrency_share(caller: str, limit: int, seat: LimitShare) -> int:
     """Return how many requests of ``caller`` may run at once at this seat.
 
     The shares add up to the limit. What does not divide goes to other seats for each
@@ -42,5 +42,5 @@
     whole, rest = divmod(limit, seat.instances)
     if not rest:
         return whole
-    turned = seat.place + xxhash.xxh3_64_intdigest(caller.encode())
+    turned = seat.position + xxhash.xxh3_64_intdigest(caller.encode())
     return max(1, whole + (turned % seat.instances < rest))
--- a/src/caperridge/decisions/retry_budget.py
+++ b/src/caperridge/decisions/retry_budget.py
@@ -14,7 +14,7 @@
     reads already is the worst that a refusal can do.
 
     >>> budget = RetryBudget(ratio=0.5, max_burst=1.0)
-    >>> budget.take(), budget.take(), budget.take(begun=True)
+    >>> budget.take(), budget.take(), budget.take(started=True)
     (True, False, True)
     >>> for _ in range(4):
     ...     budget.deposit()
@@ -39,13 +39,13 @@
         """Note one call."""
         self.level = min(self._max_burst, self.level + self._ratio)
 
-    def take(self, begun: bool = False) -> bool:
+    def take(self, started: bool = False) -> bool:
         """Return whether one retry is left, and take it.
 
         Args:
-            begun: the caller has seen a part of the answer.
+            started: the caller has seen a part of the answer.
         """
-        least = 1.0 - self._max_burst if begun else 1.0
+        least = 1.0 - self._max_burst if started else 1.0
         if self.level < least:
             return False
         self.level -= 1.0
--- a/src/caperridge/decisions/run_lengths.py
+++ b/src/caperridge/decisions/run_lengths.py
@@ -11,17 +11,17 @@
 
 # Weight of the newest run. After ten runs two thirds of what is known is theirs: they
 # take some seconds, in which a service's targets may come or go.
-NEWEST_SHARE = 0.1
+NEWEST_WEIGHT = 0.1
 # Weight of a run that is shorter than the longest of late. So small that the longest is
 # remembered over some fifty runs.
-FADING_SHARE = 0.02
+LONGEST_DECAY = 0.02
 # Runs with fewer events tell more of the prompt than of the pace.
-LEAST_EVENTS = 5
+MIN_EVENTS = 5
 # What peers tell each other, in this order.
-TOLD = ("online_s", "events_per_token", "event_s", "stretch", "longest_s")
+SHARED_FIELDS = ("online_s", "events_per_token", "event_s", "stretch", "longest_s")
 
 
-class RunLengths(Record):
+class RunStatistics(Record):
     """What is known of the runs of one service; 0 where nothing is yet.
 
     Attributes:
@@ -49,7 +49,7 @@
         self.stretch = stretch
         self.longest_s = longest_s
 
-    def answered(self, events: int, took_s: float, queued: bool = False) -> None:
+    def record_answer(self, events: int, took_s: float, queued: bool = False) -> None:
         """Learn from an online request that ended well.
 
         Args:
@@ -57,19 +57,19 @@
             took_s: from its sending to its end.
             queued: it may have waited for a slot at its target.
         """
-        if events < LEAST_EVENTS:
+        if events < MIN_EVENTS:
             return
         if not queued:
-            self.online_s = _learnt(self.online_s, took_s)
-        faded_s = self.longest_s + FADING_SHARE * (took_s - self.longest_s)
+            self.online_s = _moving_average(self.online_s, took_s)
+        faded_s = self.longest_s + LONGEST_DECAY * (took_s - self.longest_s)
         self.longest_s = max(took_s, faded_s)
 
-    def ran(self, events: int, took_s: float) -> None:
+    def record_run(self, events: int, took_s: float) -> None:
         """Learn from a run of an item that made so many events."""
-        if events >= LEAST_EVENTS and took_s > 0:
-            self.event_s = _learnt(self.event_s, took_s / events)
+        if events >= MIN_EVENTS and took_s > 0:
+            self.event_s = _moving_average(self.event_s, took_s / events)
 
-    def ended(self, tokens: int, events: int, since_start_s: float) -> None:
+    def record_item(self, tokens: int, events: int, since_start_s: float) -> None:
         """Learn from an item whose output is whole.
 
         Args:
@@ -78,41 +78,45 @@
             since_start_s: since its first run began; 0 if that was elsewhere.
         """
         if tokens > 0 and events > 0:
-            self.events_per_token = _learnt(self.events_per_token, events / tokens)
+            self.events_per_token = _moving_average(
+                self.events_per_token, events / tokens
+            )
         ran_s = events * self.event_s
         if since_start_s and ran_s:
-            self.stretch = _learnt(self.stretch, max(1.0, since_start_s / ran_s))
+            self.stretch = _moving_average(
+                self.stretch, max(1.0, since_start_s / ran_s)
+            )
 
-    def left_s(self, tokens: int, events: int) -> float:
+    def remaining_s(self, tokens: int, events: int) -> float:
         """Return how long an item is likely to take; 0 as long as nothing is known.
 
         Args:
             tokens: that it declared.
             events: that it has made.
 
-        >>> lengths = RunLengths(events_per_token=0.1, event_s=0.025, stretch=1.2)
-        >>> [lengths.left_s(2000, events) for events in (0, 150, 250)]
+        >>> statistics = RunStatistics(events_per_token=0.1, event_s=0.025, stretch=1.2)
+        >>> [statistics.remaining_s(2000, events) for events in (0, 150, 250)]
         [6.0, 1.5, 0.0]
         """
         left = max(0.0, tokens * self.events_per_token - events)
         return left * self.event_s * max(1.0, self.stretch)
 
-    def told(self, fields: list[Any]) -> None:
+    def merge(self, fields: list[Any]) -> None:
         """Take what a peer knows where nothing is known here.
 
         A peer of another release may tell more, less or something else.
         """
-        for name, value in zip(TOLD, fields, strict=False):
+        for name, value in zip(SHARED_FIELDS, fields, strict=False):
             if not getattr(self, name) and type(value) is float and value > 0:
                 setattr(self, name, value)
 
-    def as_told(self) -> list[float]:
+    def to_fields(self) -> list[float]:
         """Return what :meth:`told` takes."""
-        return [getattr(self, name) for name in TOLD]
+        return [getattr(self, name) for name in SHARED_FIELDS]
 
 
-def _learnt(known: float, newest: float) -> float:
+def _moving_average(known: float, newest: float) -> float:
     """Return a mean in which ``newest`` has its share; the first stands alone."""
     if not known:
         return newest
-    return known + NEWEST_SHARE * (newest - known)
+    return known + NEWEST_WEIGHT * (newest - known)
--- a/src/caperridge/decisions/runner_headroom.py
+++ b/src/caperridge/decisions/runner_headroom.py
@@ -5,7 +5,7 @@
 from caperridge.decisions.batch_share import FirstTokenGuard
 from caperridge.decisions.burst import BurstEstimate
 from caperridge.decisions.online_counts import OnlineCounts
-from caperridge.decisions.step_time import StepTime
+from caperridge.decisions.step_time import StepTimeModel
 
 FIRST_REACTION_S = 0.02
 FIRST_STEP_S = 0.03
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.counts = OnlineCounts()
         self.burst = BurstEstimate()
-        self.steps = StepTime()
+        self.steps = StepTimeModel()
         self.guard = FirstTokenGuard()
         self.reaction_s = FIRST_REACTION_S
         self.owned_since: float | None = None
@@ -57,12 +57,12 @@
         """
         online = self.counts.total(now)
         if online != self.burst.online:
-            self.burst.note(online, self.reaction_s, now)
+            self.burst.record(online, self.reaction_s, now)
         return online
 
     def quiet(self, now: float) -> bool:
         """Return whether no online request runs here or has arrived of late."""
-        return self.online(now) == 0 and self.burst.most_arrivals(now) == 0
+        return self.online(now) == 0 and self.burst.max_arrivals(now) == 0
 
     def hold_s(self, batch_weight: float, now: float) -> float:
         """Return how long a place that online freed is held for its next request."""
--- a/src/caperridge/decisions/service_policy.py
+++ b/src/caperridge/decisions/service_policy.py
@@ -8,16 +8,16 @@
 from caperridge.decisions.retry_budget import RetryBudget
 from caperridge.records import Record
 
-PREFILL_PATIENCE_S = 0.0002  # for one token of the prompt
-EXPECTED_PATIENCE = 3.0  # times the expected wait
-UNREPEATABLE_FIRST_S = 30.0
-UNREPEATABLE_BETWEEN_S = 10.0
-ALONE_S = 2.0  # least patience with a target that has no alternative
-RETRY_SHARE = 0.2
-MOST_RETRIES = 64.0  # at once; a lost runner moves all its streams together
+PREFILL_TIMEOUT_S_PER_TOKEN = 0.0002  # for one token of the prompt
+EXPECTED_WAIT_FACTOR = 3.0  # times the expected wait
+UNREPEATABLE_FIRST_EVENT_S = 30.0
+UNREPEATABLE_INTER_EVENT_S = 10.0
+MIN_SOLE_TARGET_TIMEOUT_S = 2.0  # least patience with a target that has no alternative
+RETRY_RATIO = 0.2
+MAX_RETRY_BURST = 64.0  # at once; a lost runner moves all its streams together
 
 
-class Limits(Record):
+class EventTimeouts(Record):
     """How long one attempt may be silent before and between its events, in seconds."""
 
     __slots__ = ("between_s", "first_s")
@@ -30,34 +30,38 @@
 class ServicePolicy:
     """The retry budget and the patience of one service."""
 
-    __slots__ = ("between", "budget", "first")
+    __slots__ = ("first_event", "inter_event", "retry_budget")
 
     def __init__(self) -> None:
-        self.budget = RetryBudget(RETRY_SHARE, MOST_RETRIES)
-        self.first: AdaptiveTimeout = first_event_timeout()
-        self.between: AdaptiveTimeout = inter_event_timeout()
+        self.retry_budget = RetryBudget(RETRY_RATIO, MAX_RETRY_BURST)
+        self.first_event: AdaptiveTimeout = first_event_timeout()
+        self.inter_event: AdaptiveTimeout = inter_event_timeout()
 
-    def limits(
-        self, failed: int, tokens: int, expected_wait_s: float, alone: bool
-    ) -> Limits:
+    def timeouts(
+        self, failed: int, tokens: int, expected_wait_s: float, sole_target: bool
+    ) -> EventTimeouts:
         """Return the limits of the next attempt of a repeatable request.
 
         Args:
             failed: attempts of the request that failed.
             tokens: to be prefilled.
             expected_wait_s: at the target; its length says nothing against it.
-            alone: there is no other target. To give a slow one up early then only
+            sole_target: there is no other target. To give a slow one up early then only
                 turns a late answer into none.
 
         >>> policy = ServicePolicy()
-        >>> policy.limits(0, 0, 0.0, alone=True).between_s >= ALONE_S
+        >>> timeouts = policy.timeouts(0, 0, 0.0, sole_target=True)
+        >>> timeouts.between_s >= MIN_SOLE_TARGET_TIMEOUT_S
         True
         """
         # Each move doubles the patience: if all are slow, moving does not help.
-        first_s = self.first.timeout_s() * 2**failed
-        first_s += PREFILL_PATIENCE_S * tokens
-        first_s += EXPECTED_PATIENCE * expected_wait_s
-        between_s = self.between.timeout_s() * 2**failed
-        if alone:
-            return Limits(max(first_s, ALONE_S), max(between_s, ALONE_S))
-        return Limits(first_s, between_s)
+        first_s = self.first_event.timeout_s() * 2**failed
+        first_s += PREFILL_TIMEOUT_S_PER_TOKEN * tokens
+        first_s += EXPECTED_WAIT_FACTOR * expected_wait_s
+        between_s = self.inter_event.timeout_s() * 2**failed
+        if sole_target:
+            return EventTimeouts(
+                max(first_s, MIN_SOLE_TARGET_TIMEOUT_S),
+                max(between_s, MIN_SOLE_TARGET_TIMEOUT_S),
+            )
+        return EventTimeouts(first_s, between_s)
--- a/src/caperridge/decisions/slow_start.py
+++ b/src/caperridge/decisions/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: a new or returned target gets its full share only after a while."""
 
 RAMP_S = 10.0
-FIRST_SHARE = 0.1
+INITIAL_SHARE = 0.1
 
 
 def share_at(since: float, now: float) -> float:
@@ -17,4 +17,4 @@
     if since <= 0.0 or now >= since + RAMP_S:
         return 1.0
     passed = max(0.0, now - since) / RAMP_S
-    return FIRST_SHARE + (1.0 - FIRST_SHARE) * passed
+    return INITIAL_SHARE + (1.0 - INITIAL_SHARE) * passed
--- a/src/caperridge/decisions/step_time.py
+++ b/src/caperridge/decisions/step_time.py
@@ -12,17 +12,17 @@
 
 from caperridge.records import Record
 
-SAMPLES = 32  # kept for each level
-LEAST_SAMPLES = 4  # before a level counts
-SAME_STEP = 0.5  # of a step: what comes sooner after a sample is of the same step
-OLDEST_S = 300.0
-FIT_EVERY_S = 0.25
-LEAST_BASE = 0.1  # of the mean step
-USUAL_SLOPE = 0.005  # of a step, for each stream
-USUAL_WEIGHT = 1000.0  # as of so many samples, each one stream off the mean
+MAX_SAMPLES_PER_LEVEL = 32  # kept for each level
+MIN_SAMPLES = 4  # before a level counts
+SAME_STEP_RATIO = 0.5  # of a step: what comes sooner after a sample is of the same step
+MAX_SAMPLE_AGE_S = 300.0
+FIT_INTERVAL_S = 0.25
+MIN_BASE_RATIO = 0.1  # of the mean step
+PRIOR_SLOPE_RATIO = 0.005  # of a step, for each stream
+PRIOR_WEIGHT = 1000.0  # as of so many samples, each one stream off the mean
 
 
-class Line(Record):
+class LinearFit(Record):
     """``base_s + stream_s * streams``."""
 
     __slots__ = ("base_s", "stream_s")
@@ -36,10 +36,10 @@
         return self.base_s + self.stream_s * streams
 
 
-class StepTime:
+class StepTimeModel:
     """Learns the step time of one target.
 
-    >>> steps = StepTime()
+    >>> steps = StepTimeModel()
     >>> for streams in (1, 33, 65):
     ...     for number in range(30):
     ...         steps.observe(streams, 0.040 + 0.001 * streams, now=number)
@@ -54,7 +54,7 @@
         self._samples_by_streams: dict[int, deque[tuple[float, float]]] = {}
         self._changed = False
         self._fit_due = 0.0
-        self._line: Line | None = None
+        self._line: LinearFit | None = None
 
     def observe(self, streams: int, step_s: float, now: float) -> None:
         """Add the time between two tokens while ``streams`` ran.
@@ -64,30 +64,30 @@
         """
         samples = self._samples_by_streams.get(streams)
         if samples is None:
-            samples = deque(maxlen=SAMPLES)
+            samples = deque(maxlen=MAX_SAMPLES_PER_LEVEL)
             self._samples_by_streams[streams] = samples
-        if samples and now - samples[-1][0] < SAME_STEP * step_s:
+        if samples and now - samples[-1][0] < SAME_STEP_RATIO * step_s:
             return
         samples.append((now, step_s))
         self._changed = True
 
-    def line(self, now: float) -> Line | None:
+    def line(self, now: float) -> LinearFit | None:
         """Return the fitted line; None before two levels are known."""
         if self._changed and now >= self._fit_due:
             self._changed = False
-            self._fit_due = now + FIT_EVERY_S
+            self._fit_due = now + FIT_INTERVAL_S
             self._line = self._fit(now)
         return self._line
 
-    def _fit(self, now: float) -> Line | None:
+    def _fit(self, now: float) -> LinearFit | None:
         points: list[tuple[int, float, int]] = []
         for streams, samples in list(self._samples_by_streams.items()):
-            while samples and samples[0][0] < now - OLDEST_S:
+            while samples and samples[0][0] < now - MAX_SAMPLE_AGE_S:
                 samples.popleft()
             if not samples:
                 del self._samples_by_streams[streams]
                 continue
-            if len(samples) >= LEAST_SAMPLES:
+            if len(samples) >= MIN_SAMPLES:
                 points.append((streams, _median(samples), len(samples)))
         if len(points) < 2:
             return self._line
@@ -99,7 +99,7 @@
     return ordered[len(ordered) // 2]
 
 
-def _least_squares(points: list[tuple[int, float, int]]) -> Line:
+def _least_squares(points: list[tuple[int, float, int]]) -> LinearFit:
     """Return the line through ``(streams, step_s, weight)``, never a falling one."""
     total = sum(weight for _, _, weight in points)
     mean_streams = sum(streams * weight for streams, _, weight in points) / total
@@ -109,9 +109,9 @@
         w * (streams - mean_streams) * (step_s - mean_step)
         for streams, step_s, w in points
     )
-    usual = USUAL_WEIGHT * USUAL_SLOPE * mean_step
-    stream_s = max(0.0, (both + usual) / (spread + USUAL_WEIGHT))
+    usual = PRIOR_WEIGHT * PRIOR_SLOPE_RATIO * mean_step
+    stream_s = max(0.0, (both + usual) / (spread + PRIOR_WEIGHT))
     # Long prompts come with many streams and look like a slope; a step has a base.
-    steepest = (1 - LEAST_BASE) * mean_step / max(1.0, mean_streams)
+    steepest = (1 - MIN_BASE_RATIO) * mean_step / max(1.0, mean_streams)
     stream_s = min(stream_s, steepest)
-    return Line(mean_step - stream_s * mean_streams, stream_s)
+    return LinearFit(mean_step - stream_s * mean_streams, stream_s)
--- a/src/caperridge/decisions/unserved.py
+++ b/src/caperridge/decisions/unserved.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-UNSERVED_S = 3.0  # views of who dispatches for a target differ for less than that
+UNSERVED_GRACE_S = 3.0  # views of who dispatches for a target differ for less than that
 
 
 class UnservedServices:
@@ -11,7 +11,7 @@
     >>> unserved = UnservedServices()
     >>> unserved.due({"chat": False, "tags": True}, now=0.0)
     []
-    >>> unserved.due({"chat": False, "tags": True}, now=UNSERVED_S)
+    >>> unserved.due({"chat": False, "tags": True}, now=UNSERVED_GRACE_S)
     ['chat']
     """
 
@@ -34,7 +34,7 @@
                 continue
             since = self._since_by_service.get(service, now)
             since_by_service[service] = since
-            if now - since >= UNSERVED_S:
+            if now - since >= UNSERVED_GRACE_S:
                 due.append(service)
         self._since_by_service = since_by_service
         return due
--- a/src/caperridge/gateway/fleet.py
+++ b/src/caperridge/gateway/fleet.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from caperridge.decisions.ejection import Health
-from caperridge.decisions.run_lengths import RunLengths
+from caperridge.decisions.run_lengths import RunStatistics
 from caperridge.gateway.occupancy import Occupancy
 from caperridge.gateway.targets import Target, TargetList
 from caperridge.log import logger
@@ -46,7 +46,7 @@
         self.known = False
         self.far_counts_are_old = False
         self.unreachable: dict[str, str] = {}
-        self.lengths_by_service: dict[str, RunLengths] = {}
+        self.lengths_by_service: dict[str, RunStatistics] = {}
         self._health_by_target: dict[str, Health] = {}
         self._failed_at_by_target: dict[str, float] = {}
         self._refusing_until_by_target: dict[str, float] = {}
@@ -55,11 +55,11 @@
         self.silent_zones: Callable[[float], frozenset[str]] = lambda now: frozenset()
         self._changed: list[Callable[[], None]] = []
 
-    def lengths(self, service: str) -> RunLengths:
+    def lengths(self, service: str) -> RunStatistics:
         """Return what is known of how long the runs of ``service`` take."""
         lengths = self.lengths_by_service.get(service)
         if lengths is None:
-            lengths = self.lengths_by_service[service] = RunLengths()
+            lengths = self.lengths_by_service[service] = RunStatistics()
         return lengths
 
     def on_change(self, call: Callable[[], None]) -> None:
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -247,7 +247,7 @@
             return error
         self._guard.ran_well(self._mark(request, carriage))
         lengths = self._fleet.lengths(target.service)
-        lengths.answered(events, took_s, queued=not at_once)
+        lengths.record_answer(events, took_s, queued=not at_once)
         return None
 
     async def _attempt_unless_held(
--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -140,7 +140,9 @@
             after_event=state.progress.event,
             due_s=round(one.due, 2),
             late=one.late,
-            left_s=round(lengths.left_s(state.item.tokens, state.progress.event), 2),
+            left_s=round(
+                lengths.remaining_s(state.item.tokens, state.progress.event), 2
+            ),
             stretch=round(lengths.stretch, 2),
         )
         attempt = self._attempt(one, target)
@@ -226,7 +228,7 @@
             self._fleet.succeeded(target.id, now)
             self._guard.ran_well(self._mark(one))
             since_s = now - state.started_at if state.started_at else 0.0
-            self._fleet.lengths(target.service).ended(
+            self._fleet.lengths(target.service).record_item(
                 state.item.tokens, state.progress.event, since_s
             )
             job.complete(state)
@@ -304,7 +306,7 @@
             return outcome
         finally:
             answer.close()
-            self._fleet.lengths(target.service).ran(
+            self._fleet.lengths(target.service).record_run(
                 state.progress.event - from_event, loop.time() - began
             )
 
--- a/src/caperridge/gateway/jobs/slots.py
+++ b/src/caperridge/gateway/jobs/slots.py
@@ -164,7 +164,7 @@
         if route is None:
             return 0.0
         lengths = self._fleet.lengths(route.service_for(state.item.id))
-        return lengths.left_s(state.item.tokens, state.progress.event)
+        return lengths.remaining_s(state.item.tokens, state.progress.event)
 
     def refresh_dues(self, jobs: Iterable[HeldJob]) -> None:
         """Say again by when running items are ordered: some cannot be in time now."""
--- a/src/caperridge/gateway/mesh/messages.py
+++ b/src/caperridge/gateway/mesh/messages.py
@@ -52,7 +52,7 @@
         leaving: the instance takes no new work.
         store_reached: the store answers it.
         lengths: what is known of how long runs take: service, and what
-            :meth:`RunLengths.told` takes.
+            :meth:`RunStatistics.merge` takes.
     """
 
     __slots__ = ("counts", "leaving", "lengths", "store_reached", "versions")
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -148,7 +148,7 @@
             for table, watcher in self._watchers_by_table.items()
         }
         lengths = [
-            [service, *lengths.as_told()]
+            [service, *lengths.to_fields()]
             for service, lengths in self._fleet.lengths_by_service.items()
             if with_lengths
         ]
@@ -232,7 +232,7 @@
         if self._fleet.occupancy.told_all(peer, counts):
             self._heard_counts = True
         for service, *lengths in beat.lengths:
-            self._fleet.lengths(service).told(lengths)
+            self._fleet.lengths(service).merge(lengths)
         for table, version in beat.versions.items():
             self._peer_has(peer, table, version)
 
--- a/src/caperridge/instance/attempt_watch.py
+++ b/src/caperridge/instance/attempt_watch.py
@@ -54,11 +54,11 @@
         if self.tokens:
             self._longest_s = max(self._longest_s, passed_s)
         elif passed_s >= (self._attempt.first_event_s or 0.0):
-            self._policy.first.record(passed_s)
+            self._policy.first_event.record(passed_s)
 
     def note(self) -> None:
         """Hand the times to the policy of the service."""
         if self.tokens:
-            self._policy.first.record(self.first_s)
+            self._policy.first_event.record(self.first_s)
         if self._longest_s:
-            self._policy.between.record(self._longest_s)
+            self._policy.inter_event.record(self._longest_s)
--- a/src/caperridge/instance/attempts.py
+++ b/src/caperridge/instance/attempts.py
@@ -8,9 +8,9 @@
 from caperridge.decisions.progress import Progress
 from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.service_policy import (
-    UNREPEATABLE_BETWEEN_S,
-    UNREPEATABLE_FIRST_S,
-    Limits,
+    UNREPEATABLE_FIRST_EVENT_S,
+    UNREPEATABLE_INTER_EVENT_S,
+    EventTimeouts,
     ServicePolicy,
 )
 from caperridge.decisions.suspects import QUARANTINE_THRESHOLD
@@ -76,9 +76,9 @@
         """Return the learnt figures by service, for the dump."""
         return {
             name: {
-                "retry_budget": policy.budget.level,
-                "first_event_limit_s": policy.first.timeout_s(),
-                "between_events_limit_s": policy.between.timeout_s(),
+                "retry_budget": policy.retry_budget.level,
+                "first_event_limit_s": policy.first_event.timeout_s(),
+                "between_events_limit_s": policy.inter_event.timeout_s(),
             }
             for name, policy in self._policies_by_service.items()
         }
@@ -90,7 +90,7 @@
             RefusedError: no target could answer.
         """
         policy = self.policy(request.service.name)
-        policy.budget.deposit()
+        policy.retry_budget.deposit()
         progress = Progress(request.resume_from)
         while True:
             self._held.check(request, progress.run)
@@ -178,7 +178,7 @@
             )
         if isinstance(error, NotSent):
             return  # it cost no target anything
-        if policy.budget.take(progress.began):
+        if policy.retry_budget.take(progress.began):
             return
         self._metrics.budget_spent.labels(request.service.name).inc()
         text = f"too many retries in this service; last: {error.reason}"
@@ -232,9 +232,9 @@
     ) -> Attempt:
         state = self._book.states_by_id[target]
         number = progress.attempts
-        limits = Limits(UNREPEATABLE_FIRST_S, UNREPEATABLE_BETWEEN_S)
+        limits = EventTimeouts(UNREPEATABLE_FIRST_EVENT_S, UNREPEATABLE_INTER_EVENT_S)
         if request.service.repeatable:
-            limits = policy.limits(
+            limits = policy.timeouts(
                 number,
                 request.tokens + progress.offset,
                 state.expected_wait_s(request.service.most_running, self._clock()),
--- a/src/caperridge/instance/online.py
+++ b/src/caperridge/instance/online.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from caperridge.config.model import Caller, Configuration
-from caperridge.decisions.limit_share import Seat
-from caperridge.decisions.limits import CONCURRENCY_LIMIT, Limits
+from caperridge.decisions.limit_share import LimitShare
+from caperridge.decisions.limits import CONCURRENCY_LIMIT, RateLimiter
 from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.target_state import TargetReport
 from caperridge.instance.attempts import Attempts
@@ -53,11 +53,11 @@
         load_changed: Callable[[OnlineLoad], None],
         target_leaving: Callable[[str], None],
         held: HeldRequests,
-        seat: Callable[[], Seat] = Seat,
+        seat: Callable[[], LimitShare] = LimitShare,
     ) -> None:
         self.book = book
         self.in_flight = 0
-        self.limits = Limits()
+        self.limits = RateLimiter()
         self.gate = Gate(book, metrics, clock)
         self.attempts = Attempts(
             book,
@@ -159,7 +159,7 @@
             self._metrics.requests.labels(service, "hung_up").inc()
             raise
         finally:
-            self.limits.ended(request.caller.name)
+            self.limits.release(request.caller.name)
             self.in_flight -= 1
             if not self.in_flight:
                 self._idle.set()
@@ -193,7 +193,7 @@
         """Return what is queued, limited and learnt, for the dump."""
         return {
             "waiting_by_service": self.gate.waiting(),
-            "callers_tracked": len(self.limits.states_by_caller),
+            "callers_tracked": len(self.limits.usage_by_caller),
             "prefixes_known": len(self.book.prefix_index),
             "policies": self.attempts.state(),
         }
--- a/src/caperridge/instance/process.py
+++ b/src/caperridge/instance/process.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from caperridge.decisions.limit_share import Seat, seat_of
+from caperridge.decisions.limit_share import LimitShare, limit_share_of
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.routing import TargetPool
 from caperridge.elapsed import elapsed_s
@@ -162,7 +162,7 @@
             self.membership, self.peers, self.metrics, clock
         )
         self._seated: dict[str, ListedMember] | None = None
-        self._seat_now = Seat()
+        self._seat_now = LimitShare()
         self.online = OnlineFront(
             book,
             self._engines,
@@ -270,13 +270,13 @@
         self.online.book.set_closed(closed)
         self.streams.close({t for t in closed if book.closed_to_batch(t)})
 
-    def _seat(self) -> Seat:
+    def _seat(self) -> LimitShare:
         """Return the place of this instance among the live ones."""
         members = self.membership.members_by_id
         if members is not self._seated:  # replaced with each list
             live = [member.id for member in members.values() if member.state == "live"]
             self._seated = members
-            self._seat_now = seat_of(self.settings.instance_id, live)
+            self._seat_now = limit_share_of(self.settings.instance_id, live)
         return self._seat_now
 
     def _target_leaving(self, target: str) -> None:
--- a/src/caperridge/measure/admission.py
+++ b/src/caperridge/measure/admission.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from caperridge.config.model import Caller
-from caperridge.decisions.limit_share import Seat
-from caperridge.decisions.limits import Limits
+from caperridge.decisions.limit_share import LimitShare
+from caperridge.decisions.limits import RateLimiter
 
 CALLERS = 14_000
 REQUESTS_A_CALLER = 4
@@ -21,15 +21,15 @@
         for n in range(CALLERS)
     ]
     tracemalloc.start()
-    limits = Limits()
+    limits = RateLimiter()
     for caller in callers:
-        limits.admit(caller, 100, Seat(23), 0.0)
+        limits.admit(caller, 100, LimitShare(23), 0.0)
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     began = time.perf_counter()
     for turn in range(REQUESTS_A_CALLER):
         for number, caller in enumerate(callers):
-            limits.admit(caller, 100, Seat(23), turn + number / CALLERS)
+            limits.admit(caller, 100, LimitShare(23), turn + number / CALLERS)
     took_s = time.perf_counter() - began
     return {
         "callers": CALLERS,
@@ -48,16 +48,16 @@
         caller = Caller("greedy", DIGEST, most_running=limit)
         running = 0
         for place in range(instances):
-            limits = Limits()
-            while limits.admit(caller, 1, Seat(instances, place), 0.0) is None:
+            limits = RateLimiter()
+            while limits.admit(caller, 1, LimitShare(instances, place), 0.0) is None:
                 running += 1
         found[f"running_{limit}"] = round(running / limit, 2)
         caller = Caller("greedy", DIGEST, requests_per_s=limit)
         admitted = 0
         for _ in range(instances):
-            limits, now = Limits(), 0.0
+            limits, now = RateLimiter(), 0.0
             while now < BURSTS_S:
-                over = limits.admit(caller, 1, Seat(instances), now)
+                over = limits.admit(caller, 1, LimitShare(instances), now)
                 admitted += over is None
                 now += over.retry_after_s if over is not None else 0.0
         found[f"rate_{limit}"] = round(admitted / (limit * BURSTS_S), 2)
--- a/src/caperridge/measure/modelled_runner.py
+++ b/src/caperridge/measure/modelled_runner.py
@@ -81,8 +81,8 @@
         self.shape = shape
         self.now = 0.0
         self.headroom = headroom or Headroom()
-        self.headroom.acquire_target(TARGET, 0.0, alone=True)
-        self.headroom.update_peers(alone=shape.news_s == 0)
+        self.headroom.acquire_target(TARGET, 0.0, sole_instance=True)
+        self.headroom.update_peers(sole_instance=shape.news_s == 0)
         self.engine = EngineModel(shape.costs)
         self.first_token = Latencies()
         self.between_tokens = Latencies()
--- a/tests/headroom/test_headroom.py
+++ b/tests/headroom/test_headroom.py
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("weight", [0.0, 0.5, 1.0])
 def test_batch_has_its_places_back_soon_after_a_burst(weight: float) -> None:
     headroom = Headroom()
-    headroom.acquire_target(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, sole_instance=True)
     running = 0
     for step in range(20):
         running = fill(headroom, running, weight, step * STEP_S)
@@ -58,7 +58,7 @@
 
 def test_a_stream_that_frees_its_place_by_itself_is_left_to_end() -> None:
     headroom = Headroom()
-    headroom.acquire_target(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, sole_instance=True)
     streams = [BatchStream(str(n), TARGET, tokens=n) for n in range(MOST)]
     streams[0].ending = True
     headroom.update_online(TARGET, "entry-1", 1, 1.0)
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("weight", [0.0, 0.5])
 def test_a_place_just_freed_is_held_and_then_given_to_batch(weight: float) -> None:
     headroom = Headroom()
-    headroom.acquire_target(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, sole_instance=True)
     for online in (4, 3):
         headroom.update_online(TARGET, "entry-1", online, 1.0)
     assert headroom.startable(TARGET, MOST, weight, 1.0) == MOST - 4
@@ -81,7 +81,7 @@
 
 def test_a_place_is_kept_for_requests_of_peers() -> None:
     headroom = Headroom()
-    headroom.acquire_target(TARGET, 0.0, alone=False)
+    headroom.acquire_target(TARGET, 0.0, sole_instance=False)
     now = SETTLE_S
     assert headroom.allowed(TARGET, MOST, 1.0, now) == MOST - 1
     headroom.update_online(TARGET, "entry-2", 3, now, sequence=1)
@@ -90,7 +90,7 @@
 
 def test_no_place_is_kept_where_peers_have_sent_nothing_for_long() -> None:
     headroom = Headroom()
-    headroom.acquire_target(TARGET, 0.0, alone=False)
+    headroom.acquire_target(TARGET, 0.0, sole_instance=False)
     headroom.update_online(TARGET, "entry-2", 1, 10.0, sequence=1)
     headroom.update_online(TARGET, "entry-2", 0, 11.0, sequence=2)
     quiet = 10.0 + PEER_RESERVE_S
@@ -112,7 +112,7 @@
     weight: float, most_starts: int
 ) -> None:
     headroom = Headroom()
-    headroom.acquire_target(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, sole_instance=True)
     running = 0
     for step in range(40):
         filled = fill(headroom, running, weight, step * STEP_S)
@@ -164,7 +164,7 @@
 
 def test_a_start_is_put_off_beside_an_online_prompt_but_not_for_ever() -> None:
     headroom = Headroom()
-    headroom.acquire_target(TARGET, 0.0, alone=True)
+    headroom.acquire_target(TARGET, 0.0, sole_instance=True)
     running, online, started_at = 0, 0, []
     for step in range(60):
         now = 1.0 + step * STEP_S
--- a/tests/headroom/test_step_time.py
+++ b/tests/headroom/test_step_time.py
@@ -5,7 +5,7 @@
 import pytest
 
 from caperridge.decisions.batch_share import most_streams, tail_alone
-from caperridge.decisions.step_time import Line, StepTime
+from caperridge.decisions.step_time import LinearFit, StepTimeModel
 
 
 @pytest.mark.parametrize(
@@ -20,7 +20,7 @@
     levels: range, slope_s: float
 ) -> None:
     rng = random.Random(5)
-    steps = StepTime()
+    steps = StepTimeModel()
     for number in range(40):
         for streams in levels:
             prefill = 0.01 if rng.random() < 0.2 else 0.0
@@ -34,7 +34,7 @@
 
 
 def test_what_is_old_is_forgotten() -> None:
-    steps = StepTime()
+    steps = StepTimeModel()
     for now, slope_s in ((0.0, 0.003), (1000.0, 0.001)):
         for number in range(40):
             for streams in range(1, 17):
@@ -45,7 +45,7 @@
 
 
 def test_prefill_that_grows_with_the_streams_leaves_a_base() -> None:
-    steps = StepTime()
+    steps = StepTimeModel()
     for number in range(40):
         for streams in range(1, 40):
             steps.observe(streams, 0.001 * streams**2, now=2.0 * number)
@@ -55,7 +55,7 @@
 
 
 def test_a_slow_step_counts_once_however_many_streams_report_it() -> None:
-    steps = StepTime()
+    steps = StepTimeModel()
     for number in range(30):
         for streams in (4, 20):
             steps.observe(streams, 0.040 + 0.0002 * streams, now=float(number))
@@ -71,6 +71,6 @@
 def test_the_share_is_defined_for_any_line_and_load(
     tail_online: int, base_s: float
 ) -> None:
-    line = Line(base_s, 0.001)
+    line = LinearFit(base_s, 0.001)
     assert 0 <= tail_alone(line, tail_online, 24) <= tail_online
     assert most_streams(line, tail_online, 24, 0.5) >= 0
--- a/tests/online/conftest.py
+++ b/tests/online/conftest.py
@@ -305,8 +305,8 @@
         front = Front(engines, http)
         front.address = await listen(front.app())
         policy = front.online.attempts.policy("chat")
-        policy.first = AdaptiveTimeout(0.95, 3.0, 0.3, 30.0, initial_s=0.3)
-        policy.between = AdaptiveTimeout(0.95, 3.0, 0.3, 30.0, initial_s=0.3)
+        policy.first_event = AdaptiveTimeout(0.95, 3.0, 0.3, 30.0, initial_s=0.3)
+        policy.inter_event = AdaptiveTimeout(0.95, 3.0, 0.3, 30.0, initial_s=0.3)
         yield front
     await engines.close()
 
--- a/tests/online/test_fault_table.py
+++ b/tests/online/test_fault_table.py
@@ -49,8 +49,12 @@
     front.headers["Timeout"] = str(DEADLINE_S)
     monkeypatch.setattr("caperridge.targets.engine.LONGEST_CONNECT_S", PATIENT_S)
     policy = front.online.attempts.policy("chat")
-    policy.first = AdaptiveTimeout(0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S)
-    policy.between = AdaptiveTimeout(0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S)
+    policy.first_event = AdaptiveTimeout(
+        0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S
+    )
+    policy.inter_event = AdaptiveTimeout(
+        0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S
+    )
 
 
 async def add_faulty(front: Front, listen: Listen, fault: str) -> FaultyTarget:
--- a/tests/online/test_policy_machine.py
+++ b/tests/online/test_policy_machine.py
@@ -19,8 +19,8 @@
 
 from caperridge.config.model import Caller
 from caperridge.decisions.fair_queue import FairQueue, QueuedRequest
-from caperridge.decisions.limit_share import Seat
-from caperridge.decisions.limits import BURST_S, Limits
+from caperridge.decisions.limit_share import LimitShare
+from caperridge.decisions.limits import BURST_S, RateLimiter
 from caperridge.decisions.progress import MOST_ATTEMPTS, Progress
 from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.target_state import RequestProfile, TargetReport
@@ -69,7 +69,7 @@
         super().__init__()
         self.now = 100.0
         self.book = TargetPool("oviedo", seed=1)
-        self.limits = Limits()
+        self.limits = RateLimiter()
         self.queue = FairQueue(MOST_WAITING)
         self.members: dict[str, ListedMember] = {}
         self.gone: set[tuple[str, int]] = set()
@@ -112,7 +112,9 @@
     def arrives(
         self, caller: str, tokens: int, patience_s: float, repeatable: bool
     ) -> None:
-        over = self.limits.admit(CALLERS[caller], tokens, Seat(INSTANCES), self.now)
+        over = self.limits.admit(
+            CALLERS[caller], tokens, LimitShare(INSTANCES), self.now
+        )
         if over is not None:
             assert over.retry_after_s > 0
             return
@@ -126,7 +128,7 @@
         )
         dropped = self.queue.push(waiting)
         if dropped is not None:
-            self.limits.ended(dropped.caller)
+            self.limits.release(dropped.caller)
         self.pump()
 
     def has_room(self) -> bool:
@@ -137,7 +139,7 @@
             best, late = self.queue.pop(self.now)
             for waiting in late:
                 assert waiting.deadline <= self.now
-                self.limits.ended(waiting.caller)
+                self.limits.release(waiting.caller)
             if best is None:
                 return
             assert best.deadline > self.now
@@ -172,7 +174,7 @@
             assert not request.bytes_left
         if not request.repeatable:
             assert request.runs <= 1
-        self.limits.ended(request.caller)
+        self.limits.release(request.caller)
 
     @precondition(lambda self: self.running)
     @rule(data=st.data())
@@ -303,7 +305,7 @@
         for name, state in self.book.states_by_id.items():
             here = sum(1 for request in self.running if request.target == name)
             assert state.in_flight == here
-        tracked = sum(s.running for s in self.limits.states_by_caller.values())
+        tracked = sum(s.running for s in self.limits.usage_by_caller.values())
         assert tracked == len(self.running) + len(self.queue)
 
 
--- a/tests/online/test_requests.py
+++ b/tests/online/test_requests.py
@@ -7,8 +7,12 @@
 from caperridge.config.model import Caller
 from caperridge.decisions.affinity import BLOCK_TOKENS, prefix_blocks
 from caperridge.decisions.fair_queue import FairQueue, QueuedRequest
-from caperridge.decisions.limit_share import Seat, seat_of, share_at_once
-from caperridge.decisions.limits import Limits
+from caperridge.decisions.limit_share import (
+    LimitShare,
+    concurrency_share,
+    limit_share_of,
+)
+from caperridge.decisions.limits import RateLimiter
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.target_state import RequestProfile, TargetReport
@@ -80,7 +84,7 @@
     target = FaultyTarget("hung")
     front.add("hung", await listen(target.app()))
     policy = front.online.attempts.policy("chat")
-    policy.first._initial_s = 5.0
+    policy.first_event._initial_s = 5.0
     front.headers["X-Deadline-Ms"] = "600"
     asks = [asyncio.create_task(front.ask(stream=False)) for _ in range(5)]
     await until(lambda: target.runs == 5)
@@ -115,7 +119,7 @@
 ) -> None:
     target = FaultyTarget("hung in the stream")
     front.add("hung", await listen(target.app()))
-    front.online.attempts.policy("chat").between._initial_s = 30.0
+    front.online.attempts.policy("chat").inter_event._initial_s = 30.0
     ask = asyncio.create_task(front.ask(stream=True))
     await until(lambda: front.online.in_flight == 1 and target.runs == 1)
     ask.cancel()
@@ -251,13 +255,13 @@
 
 
 def test_buckets_of_idle_callers_are_dropped() -> None:
-    limits = Limits()
+    limits = RateLimiter()
     for number in range(1000):
         team = Caller(f"team-{number}", "0" * 64, requests_per_s=10.0)
-        assert limits.admit(team, 1, Seat(), now=0.0) is None
-        limits.ended(team.name)
-    limits.admit(Caller("last", "0" * 64), 1, Seat(), now=100.0)
-    assert list(limits.states_by_caller) == ["last"]
+        assert limits.admit(team, 1, LimitShare(), now=0.0) is None
+        limits.release(team.name)
+    limits.admit(Caller("last", "0" * 64), 1, LimitShare(), now=100.0)
+    assert list(limits.usage_by_caller) == ["last"]
 
 
 def test_a_full_queue_is_shared_by_weight() -> None:
@@ -386,11 +390,13 @@
 @pytest.mark.parametrize(("instances", "limit"), [(3, 10), (23, 24), (23, 100), (3, 3)])
 def test_shares_of_a_limit_add_up_to_it(instances: int, limit: int) -> None:
     names = [f"entry-{n}" for n in range(instances)]
-    shares = [share_at_once("heat", limit, seat_of(n, names)) for n in names]
+    shares = [concurrency_share("heat", limit, limit_share_of(n, names)) for n in names]
     assert sum(shares) == limit
     assert max(shares) - min(shares) <= 1
 
 
 def test_a_limit_below_the_instances_is_one_at_each() -> None:
-    shares = [share_at_once("heat", 2, Seat(23, place)) for place in range(23)]
+    shares = [
+        concurrency_share("heat", 2, LimitShare(23, place)) for place in range(23)
+    ]
     assert set(shares) == {1}
--- a/tests/policy/test_run_lengths.py
+++ b/tests/policy/test_run_lengths.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from caperridge.decisions.run_lengths import LEAST_EVENTS, RunLengths
+from caperridge.decisions.run_lengths import MIN_EVENTS, RunStatistics
 from caperridge.gateway.jobs.held_job import HeldJob
 from caperridge.gateway.jobs.model import JobEntry, JobHead, JobItem
 from caperridge.gateway.jobs.schedule import (
@@ -35,53 +35,53 @@
 
 
 @pytest.fixture
-def lengths() -> RunLengths:
+def lengths() -> RunStatistics:
     """What ten items of the same length leave behind."""
-    made = RunLengths()
+    made = RunStatistics()
     for _ in range(10):
-        made.ran(EVENTS, EVENTS * EVENT_S)
-        made.ended(TOKENS, EVENTS, EVENTS * EVENT_S * 1.2)
+        made.record_run(EVENTS, EVENTS * EVENT_S)
+        made.record_item(TOKENS, EVENTS, EVENTS * EVENT_S * 1.2)
     return made
 
 
 def test_nothing_is_late_before_anything_is_known() -> None:
-    assert RunLengths().left_s(TOKENS, 0) == 0.0
+    assert RunStatistics().remaining_s(TOKENS, 0) == 0.0
     assert order_due(20.0, 0.0, 19.9) == 20.0
 
 
-def test_what_is_left_shrinks_with_each_event(lengths: RunLengths) -> None:
-    left = [lengths.left_s(TOKENS, events) for events in (0, 100, 200, 300)]
+def test_what_is_left_shrinks_with_each_event(lengths: RunStatistics) -> None:
+    left = [lengths.remaining_s(TOKENS, events) for events in (0, 100, 200, 300)]
     assert left == pytest.approx([6.0, 3.0, 0.0, 0.0])
 
 
-def test_short_runs_tell_nothing_of_the_pace(lengths: RunLengths) -> None:
+def test_short_runs_tell_nothing_of_the_pace(lengths: RunStatistics) -> None:
     before = lengths.event_s
-    lengths.ran(LEAST_EVENTS - 1, 5.0)
-    lengths.answered(LEAST_EVENTS - 1, 0.001)
+    lengths.record_run(MIN_EVENTS - 1, 5.0)
+    lengths.record_answer(MIN_EVENTS - 1, 0.001)
     assert lengths.event_s == before
     assert lengths.online_s == 0.0
 
 
-def test_newer_runs_replace_what_was_known(lengths: RunLengths) -> None:
+def test_newer_runs_replace_what_was_known(lengths: RunStatistics) -> None:
     for _ in range(40):
-        lengths.ran(EVENTS, EVENTS * EVENT_S * 4)
+        lengths.record_run(EVENTS, EVENTS * EVENT_S * 4)
     assert lengths.event_s == pytest.approx(EVENT_S * 4, rel=0.05)
 
 
-def test_a_peer_s_word_fills_what_is_not_known_here(lengths: RunLengths) -> None:
-    fresh = RunLengths()
-    fresh.told(lengths.as_told())
+def test_a_peer_s_word_fills_what_is_not_known_here(lengths: RunStatistics) -> None:
+    fresh = RunStatistics()
+    fresh.merge(lengths.to_fields())
     assert fresh == lengths
-    own = RunLengths(event_s=1.0)
-    own.told(lengths.as_told())
+    own = RunStatistics(event_s=1.0)
+    own.merge(lengths.to_fields())
     assert own.event_s == 1.0
     assert own.stretch == lengths.stretch
 
 
 @pytest.mark.parametrize("fields", [[], ["x", None], [0.5, True, -1.0], [[]] * 9])
 def test_what_another_release_tells_does_no_harm(fields: list[object]) -> None:
-    lengths = RunLengths()
-    lengths.told(fields)
+    lengths = RunStatistics()
+    lengths.merge(fields)
     assert lengths.online_s in (0.0, 0.5)
     assert (lengths.events_per_token, lengths.event_s, lengths.stretch) == (0, 0, 0)
 
@@ -94,11 +94,15 @@
 def test_what_is_left_is_never_negative(
     ended: list[tuple[int, int]], events: int
 ) -> None:
-    lengths = RunLengths()
+    lengths = RunStatistics()
     for tokens, made in ended:
-        lengths.ran(made, made * EVENT_S)
-        lengths.ended(tokens, made, 0.0)
-    assert lengths.left_s(TOKENS, events) >= lengths.left_s(TOKENS, events + 1) >= 0
+        lengths.record_run(made, made * EVENT_S)
+        lengths.record_item(tokens, made, 0.0)
+    assert (
+        lengths.remaining_s(TOKENS, events)
+        >= lengths.remaining_s(TOKENS, events + 1)
+        >= 0
+    )
 
 
 @pytest.fixture
@@ -135,14 +139,14 @@
 
 
 def test_the_longest_of_late_is_kept_through_many_short_runs() -> None:
-    lengths = RunLengths()
-    lengths.answered(LEAST_EVENTS, 4.0, queued=True)
+    lengths = RunStatistics()
+    lengths.record_answer(MIN_EVENTS, 4.0, queued=True)
     assert lengths.online_s == 0.0
     for _ in range(20):
-        lengths.answered(LEAST_EVENTS, 1.0)
+        lengths.record_answer(MIN_EVENTS, 1.0)
     assert 2.5 < lengths.longest_s < 4.0
-    lengths.answered(LEAST_EVENTS, 5.0)
+    lengths.record_answer(MIN_EVENTS, 5.0)
     assert lengths.longest_s == 5.0
     for _ in range(500):
-        lengths.answered(LEAST_EVENTS, 1.0)
+        lengths.record_answer(MIN_EVENTS, 1.0)
     assert lengths.longest_s < 1.1
