--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -19,7 +19,7 @@
     ItemState,
 )
 from caperridge.gateway.jobs.model import ItemProgress
-from caperridge.gateway.jobs.schedule import Startable
+from caperridge.gateway.jobs.schedule import RankedItem
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.request_guard import HeldBack, RequestGuard
 from caperridge.gateway.routes import Route
@@ -98,7 +98,7 @@
         self._client = client
         self._dialect = dialect
         self._metrics = metrics
-        self.may_go_on: Callable[[Startable, Target], bool] = lambda one, target: True
+        self.may_go_on: Callable[[RankedItem, Target], bool] = lambda one, target: True
         self._orders_by_target: dict[str, dict[ItemState, float]] = {}
 
     @property
@@ -106,11 +106,11 @@
         """Ids of the targets at which items of this instance run."""
         return self._orders_by_target.keys()
 
-    def is_held(self, one: Startable) -> bool:
+    def is_held(self, one: RankedItem) -> bool:
         """Whether an item is kept from targets, as others ended under it."""
         return self._guard.suspects and self._guard.is_held(self._mark(one))
 
-    def _mark(self, one: Startable) -> Fingerprint:
+    def _mark(self, one: RankedItem) -> Fingerprint:
         entry, item = one.job.entry, one.state.item
         if one.state.mark is None:
             headers = [("Host", entry.host)]
@@ -121,7 +121,7 @@
             )
         return one.state.mark
 
-    def start(self, one: Startable, route: Route, target: Target) -> None:
+    def start(self, one: RankedItem, route: Route, target: Target) -> None:
         """Run an item at ``target``."""
         job, state = one.job, one.state
         state.status = RUNNING
@@ -167,7 +167,7 @@
 
     def _run_ended(
         self,
-        one: Startable,
+        one: RankedItem,
         route: Route,
         target: Target,
         from_event: int,
@@ -192,7 +192,7 @@
 
     def _settle(
         self,
-        one: Startable,
+        one: RankedItem,
         route: Route,
         target: Target,
         error: AttemptError | None,
@@ -264,7 +264,7 @@
         loop.call_at(state.not_before, self._fleet.changed)
 
     async def _attempt(
-        self, one: Startable, target: Target
+        self, one: RankedItem, target: Target
     ) -> AttemptError | HeldBack | Renewal | None:
         """Run the item at one target; None if its output is whole."""
         if self._guard.suspects:
@@ -284,7 +284,7 @@
             log.info("lease renewed", item=one.state.item.id, event=event)
 
     async def _leased(
-        self, one: Startable, target: Target
+        self, one: RankedItem, target: Target
     ) -> AttemptError | Renewal | None:
         """Run the item until its output is whole or its lease has to be renewed."""
         job, state = one.job, one.state
@@ -310,7 +310,7 @@
 
     def _lost(
         self,
-        one: Startable,
+        one: RankedItem,
         target: Target,
         outcome: AttemptError | Renewal | None,
         began: float,
--- a/src/caperridge/gateway/jobs/schedule.py
+++ b/src/caperridge/gateway/jobs/schedule.py
@@ -11,17 +11,17 @@
 
 # Added to the due time of items that will be late whatever is done; more than any job
 # has, so that they stand behind all others in one order.
-LATE_S = 1e6
+LATE_PENALTY_S = 1e6
 
 
-class Startable(Record):
+class RankedItem(Record):
     """An item that may start or runs, with its job and its place in the order.
 
     Attributes:
         job: that it belongs to.
         state: of the item.
         due: when it is due, on the store's clock.
-        order: by when it is ordered; see :func:`order_due`.
+        order: by when it is ordered; see :func:`effective_due`.
     """
 
     __slots__ = ("due", "job", "order", "state")
@@ -40,21 +40,23 @@
         return self.order > self.due
 
 
-def order_due(due: float, left_s: float, now: float) -> float:
-    """Return by when an item is ordered: ``LATE_S`` after it is due if it will be late.
+def effective_due(due: float, left_s: float, now: float) -> float:
+    """Return the due time that an item is ranked by.
+
+    It is ``LATE_PENALTY_S`` later than the real one if the item will be late.
 
     Args:
         due: when it is due.
         left_s: how long it is likely to take.
         now: the time, on the same clock.
 
-    >>> order_due(20.0, 4.0, 10.0), order_due(20.0, 4.0, 17.0)
+    >>> effective_due(20.0, 4.0, 10.0), effective_due(20.0, 4.0, 17.0)
     (20.0, 1000020.0)
     """
-    return due + LATE_S if now + left_s > due else due
+    return due + LATE_PENALTY_S if now + left_s > due else due
 
 
-def in_order(startable: Iterable[Startable]) -> list[Startable]:
+def by_urgency(startable: Iterable[RankedItem]) -> list[RankedItem]:
     """Return ``startable`` by urgency.
 
     The earliest due comes before others and, of one job, the furthest along.
@@ -62,7 +64,7 @@
     return sorted(startable, key=lambda one: (one.order, -one.state.progress.event))
 
 
-def first_to_cancel(running: Iterable[Startable]) -> list[Startable]:
+def preemption_order(running: Iterable[RankedItem]) -> list[RankedItem]:
     """Return running items with those first that may best wait.
 
     The latest due gives way first and, of one job, the least far along.
--- a/src/caperridge/gateway/jobs/slots.py
+++ b/src/caperridge/gateway/jobs/slots.py
@@ -10,10 +10,10 @@
 from caperridge.gateway.jobs.item_runs import ItemRuns
 from caperridge.gateway.jobs.model import JobEntry, JobItem
 from caperridge.gateway.jobs.schedule import (
-    Startable,
-    first_to_cancel,
-    in_order,
-    order_due,
+    RankedItem,
+    by_urgency,
+    effective_due,
+    preemption_order,
 )
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.placement import items_to_cancel
@@ -59,7 +59,7 @@
 
     def give_way(self, jobs: Iterable[HeldJob]) -> None:
         """Cancel items where more runs than the target has slots."""
-        running: dict[str, list[Startable]] = {}
+        running: dict[str, list[RankedItem]] = {}
         for job in jobs:
             for state in job.running():
                 if self._within_slots(state.target):
@@ -83,12 +83,12 @@
         ]
         self._cancel(ones, count, target)
 
-    def _cancel(self, ones: list[Startable], count: int, target: str) -> None:
+    def _cancel(self, ones: list[RankedItem], count: int, target: str) -> None:
         """Have ``count`` of these items give way, with those that do already."""
         at_target = self._fleet.occupancy.at(target)
         count -= sum(1 for one in ones if one.state.cancelling)
         running_on = [one for one in ones if not one.state.cancelling]
-        for one in first_to_cancel(running_on)[: max(0, count)]:
+        for one in preemption_order(running_on)[: max(0, count)]:
             log.info(
                 "item gives way",
                 item=one.state.item.id,
@@ -127,7 +127,7 @@
 
     def start_at(self, jobs: Iterable[HeldJob], target: Target, now: float) -> bool:
         """Start the most urgent item that ``target`` serves; False if there is none."""
-        for one in in_order(self._startable(jobs, now)):
+        for one in by_urgency(self._startable(jobs, now)):
             if self._service(one) != target.service or self._runs.is_held(one):
                 continue
             route = self._route(one.job.entry, one.state.item)
@@ -137,18 +137,20 @@
             return True
         return False
 
-    def _startable(self, jobs: Iterable[HeldJob], now: float) -> list[Startable]:
-        startable: list[Startable] = []
+    def _startable(self, jobs: Iterable[HeldJob], now: float) -> list[RankedItem]:
+        startable: list[RankedItem] = []
         for job in jobs:
             startable += [self._ordered(job, state) for state in job.pending(now)]
         return startable
 
-    def _ordered(self, job: HeldJob, state: ItemState) -> Startable:
+    def _ordered(self, job: HeldJob, state: ItemState) -> RankedItem:
         due = self._due(job)
         left_s = self._left_s(job, state)
-        return Startable(job, state, due, order_due(due, left_s, self._clock.now()))
+        return RankedItem(
+            job, state, due, effective_due(due, left_s, self._clock.now())
+        )
 
-    def _leads_to(self, one: Startable, target: Target) -> bool:
+    def _leads_to(self, one: RankedItem, target: Target) -> bool:
         """Whether an item that runs at ``target`` would be sent to its service now."""
         if self._configuration.table is None:
             return False
@@ -172,7 +174,7 @@
             for state in job.running():
                 self._runs.ordered_by(state, self._ordered(job, state).order)
 
-    def _service(self, one: Startable) -> str | None:
+    def _service(self, one: RankedItem) -> str | None:
         """Return which service runs an item now; None if it cannot run."""
         if self._configuration.table is None:
             return None
--- a/src/caperridge/measure/scarcity_model.py
+++ b/src/caperridge/measure/scarcity_model.py
@@ -13,7 +13,7 @@
     most_queued,
     return_after_s,
 )
-from caperridge.gateway.jobs.schedule import order_due
+from caperridge.gateway.jobs.schedule import effective_due
 from caperridge.records import Record
 
 STEP_S = 0.01
@@ -276,4 +276,4 @@
         left_s = (ITEM_S - item.done_s) * self._stretch
         if not self._policy.feasible_first:
             left_s = 0.0
-        return order_due(item.due, left_s, self._now), -item.done_s
+        return effective_due(item.due, left_s, self._now), -item.done_s
--- a/tests/policy/test_run_lengths.py
+++ b/tests/policy/test_run_lengths.py
@@ -17,11 +17,11 @@
 from caperridge.gateway.jobs.held_job import HeldJob
 from caperridge.gateway.jobs.model import JobEntry, JobHead, JobItem
 from caperridge.gateway.jobs.schedule import (
-    LATE_S,
-    Startable,
-    first_to_cancel,
-    in_order,
-    order_due,
+    LATE_PENALTY_S,
+    RankedItem,
+    by_urgency,
+    effective_due,
+    preemption_order,
 )
 from caperridge.measure.scarcity_model import Outcome, Play, Policy
 
@@ -46,7 +46,7 @@
 
 def test_nothing_is_late_before_anything_is_known() -> None:
     assert RunLengths().left_s(TOKENS, 0) == 0.0
-    assert order_due(20.0, 0.0, 19.9) == 20.0
+    assert effective_due(20.0, 0.0, 19.9) == 20.0
 
 
 def test_what_is_left_shrinks_with_each_event(lengths: RunLengths) -> None:
@@ -113,13 +113,13 @@
 ) -> None:
     now = 10.0
     hopeless, soon, later = (
-        Startable(job, state, due, order_due(due, 4.0, now))
+        RankedItem(job, state, due, effective_due(due, 4.0, now))
         for state, due in zip(job.states, (13.0, 16.0, 30.0), strict=True)
     )
-    assert hopeless.order == 13.0 + LATE_S
+    assert hopeless.order == 13.0 + LATE_PENALTY_S
     assert [one.late for one in (hopeless, soon, later)] == [True, False, False]
-    assert in_order([later, hopeless, soon]) == [soon, later, hopeless]
-    assert first_to_cancel([soon, hopeless, later]) == [hopeless, later, soon]
+    assert by_urgency([later, hopeless, soon]) == [soon, later, hopeless]
+    assert preemption_order([soon, hopeless, later]) == [hopeless, later, soon]
 
 
 def items_in_time(policy: Policy) -> float:
