--- a/src/caperridge/gateway/jobs/acceptance.py
+++ b/src/caperridge/gateway/jobs/acceptance.py
@@ -175,13 +175,13 @@
             answer = await self._store.transact(transaction)
             if not isinstance(answer, Err):
                 version = answer.ok_value.version
-                self._index.take_row(StoredRow(key, own, version))
-                self._index.take_row(StoredRow(gate, entry.id.encode(), version))
+                self._index.apply_row(StoredRow(key, own, version))
+                self._index.apply_row(StoredRow(gate, entry.id.encode(), version))
                 return Accepted(entry)
             error = answer.err_value
             there = error.row(key) if isinstance(error, Refused) else None
             if there is not None:
-                self._index.take_row(there)
+                self._index.apply_row(there)
                 return Accepted(entry, again=there.value != own)
             _log_another_try(entry.id, error)
             if isinstance(error, Refused):
@@ -210,7 +210,7 @@
             return
         page: RowsRead = answer.ok_value
         news = self._index.copy.take_whole(page.rows, page.version)
-        self._index.take(news)
+        self._index.apply_rows(news)
 
     async def _pause(self, pause_s: float, deadline: float) -> bool:
         """Wait a little; False if the caller's time does not allow another try."""
--- a/src/caperridge/gateway/jobs/edge.py
+++ b/src/caperridge/gateway/jobs/edge.py
@@ -251,7 +251,7 @@
         if isinstance(answer, Err):
             return NOT_SURE
         for row in answer.ok_value.rows:
-            self._index.take_row(row)
+            self._index.apply_row(row)
         return self._index.entries_by_job.get(id, NO_SUCH_JOB)
 
     async def _listed(self, entry: JobEntry, first: int) -> list[ItemResult] | None:
--- a/src/caperridge/gateway/jobs/index.py
+++ b/src/caperridge/gateway/jobs/index.py
@@ -29,7 +29,7 @@
         """Have ``call`` called with each job whose entry was removed."""
         self._removed.append(call)
 
-    def take(self, rows: list[StoredRow]) -> None:
+    def apply_rows(self, rows: list[StoredRow]) -> None:
         """Decode rows that were news in the copy."""
         for row in rows:
             job = job_of_entry(row.key)
@@ -47,10 +47,10 @@
         for call in self._changed:
             call()
 
-    def take_row(self, row: StoredRow) -> None:
+    def apply_row(self, row: StoredRow) -> None:
         """Take one row that was just written or read."""
         if self.copy.take_row(row):
-            self.take([row])
+            self.apply_rows([row])
 
     def version_of(self, job: str) -> int:
         """Return the version of a job's entry; ``ABSENT`` if it has none."""
--- a/src/caperridge/gateway/jobs/sweep.py
+++ b/src/caperridge/gateway/jobs/sweep.py
@@ -91,7 +91,7 @@
         if isinstance(removed, Err):
             return
         version = removed.ok_value.version
-        self._index.take_row(StoredRow(key, b"", version, removed=True))
+        self._index.apply_row(StoredRow(key, b"", version, removed=True))
         log.info("job swept", job=entry.id, sent_s=round(entry.sent_s, 1))
 
     async def _remove(self, rows: list[StoredRow]) -> bool:
--- a/src/caperridge/gateway/table_rows.py
+++ b/src/caperridge/gateway/table_rows.py
@@ -123,5 +123,5 @@
 
     def index(self, rows: list[StoredRow], source: str) -> None:
         """Take entries of jobs."""
-        self._index.take(rows)
+        self._index.apply_rows(rows)
         self.taken(self._index.copy.table)
