--- a/src/caperridge/gateway/jobs/granting.py
+++ b/src/caperridge/gateway/jobs/granting.py
@@ -76,15 +76,15 @@
         self._news = call
 
     @property
-    def wanted(self) -> bool:
+    def has_requests(self) -> bool:
         """Whether any instance asked this one for slots."""
         return self._broker.wanted
 
-    def used(self, instance: str, target: str) -> None:
+    def slot_used(self, instance: str, target: str) -> None:
         """Note that ``instance`` started an item at ``target``."""
         self._broker.used(instance, target)
 
-    def granted_here(self) -> list[Target]:
+    def granted_targets(self) -> list[Target]:
         """Return the targets in use whose slots this instance grants."""
         now = asyncio.get_running_loop().time()
         by_id = self._fleet.targets.by_id
@@ -101,7 +101,7 @@
         self._tell(jobs, now)
         if not self._broker.wanted:
             return
-        targets = {target.id: target for target in self.granted_here()}
+        targets = {target.id: target for target in self.granted_targets()}
         grants = self._broker.grant(
             targets.values(),
             self._fleet.occupancy,
--- a/src/caperridge/gateway/jobs/keeper.py
+++ b/src/caperridge/gateway/jobs/keeper.py
@@ -31,7 +31,7 @@
 
 log = logger(__name__)
 
-CHECK_S = 0.3
+ORPHAN_CHECK_INTERVAL_S = 0.3
 # The slack of an index entry's tokens: it is rewritten at once only when its route
 # is this full.
 CROWDED_SHARE = 0.25
@@ -83,7 +83,7 @@
         index.on_removed(self._forget)
         mesh.register(JobNews, self._told)
         mesh.register(SlotGrant, self._granted)
-        granting.on_news(self.poke)
+        granting.on_news(self.schedule_check)
 
     # What the edge asks.
 
@@ -101,11 +101,11 @@
         """Return an event that is set when the job's next result is listed."""
         return self._news.setdefault(job, asyncio.Event())
 
-    def held(self) -> list[HeldJob]:
+    def held_jobs(self) -> list[HeldJob]:
         """Return the jobs that are held here."""
         return list(self.held_by_id.values())
 
-    def poke(self) -> None:
+    def schedule_check(self) -> None:
         """Look soon at what may start; once for all that happens until then."""
         if self._look_timer is not None or self._stopped:
             return
@@ -117,8 +117,8 @@
         """Look soon if counts or targets matter here: to own items or to grants."""
         if self._look_timer is not None:
             return
-        if self.held_by_id or self._granting.wanted:
-            self.poke()
+        if self.held_by_id or self._granting.has_requests:
+            self.schedule_check()
 
     def check_slots(self, target: str) -> None:
         """Have own items at ``target`` give way at once if it has too many runs."""
@@ -130,14 +130,14 @@
 
     def _give_way(self) -> None:
         self._give_way_timer = None
-        self._slots.give_way(self.held())
+        self._slots.give_way(self.held_jobs())
 
     def _look(self) -> None:
         """Give way to online requests, ask for slots, and grant those that are free."""
         self._look_timer = None
         now = asyncio.get_running_loop().time()
         self._look_at = now + LOOK_S
-        jobs = self.held()
+        jobs = self.held_jobs()
         self._slots.give_way(jobs)
         if not self.leaving:
             self._granting.step(jobs, now)
@@ -150,9 +150,9 @@
         try:
             while True:
                 self._claim_orphans(loop.time())
-                self._slots.refresh_dues(self.held())
-                self.poke()
-                await asyncio.sleep(CHECK_S)
+                self._slots.refresh_dues(self.held_jobs())
+                self.schedule_check()
+                await asyncio.sleep(ORPHAN_CHECK_INTERVAL_S)
         finally:
             self._stop_looking()
 
@@ -165,7 +165,7 @@
     async def hand_over(self) -> None:
         """Stop all runs, keep their progress, and give the jobs up."""
         self.leaving = True
-        jobs = self.held()
+        jobs = self.held_jobs()
         for job in jobs:
             job.releasing = True
             job.stop_runs()
@@ -235,7 +235,7 @@
             return
         self._told_all(job)
         self.held_by_id[entry.id] = job
-        self.poke()
+        self.schedule_check()
         try:
             await self._keep(job)
         finally:
@@ -315,11 +315,11 @@
         value = to_bytes(changed)
         answer = await self._store.transact(Transaction({key: version}, {key: value}))
         if not isinstance(answer, Err):
-            self._index.take_row(StoredRow(key, value, answer.ok_value.version))
+            self._index.apply_row(StoredRow(key, value, answer.ok_value.version))
             return True
         row = getattr(answer.err_value, "row", lambda _: None)(key)
         if row is not None:
-            self._index.take_row(row)
+            self._index.apply_row(row)
         return False
 
     # News.
@@ -330,9 +330,9 @@
         self._note(id, job.head.holder, job.head.listed)
 
     def _granted(self, peer: str, grant: SlotGrant) -> None:
-        jobs = self.held()
+        jobs = self.held_jobs()
         self._granting.take(peer, grant, jobs)
-        self.poke()
+        self.schedule_check()
 
     def _told(self, peer: str, news: JobNews) -> None:
         if news.cancelled:
@@ -340,7 +340,7 @@
             return
         self._note(news.job, news.holder, news.listed)
         if news.holder == "":
-            self.poke()
+            self.schedule_check()
 
     def _note(self, job: str, holder: str, listed: int) -> None:
         self._holders.note(job, holder)
--- a/src/caperridge/gateway/jobs/recalls.py
+++ b/src/caperridge/gateway/jobs/recalls.py
@@ -50,7 +50,7 @@
         self._again_at: dict[tuple[str, str], float] = {}
         mesh.register(SlotRecall, self._recalled)
 
-    def look(self, id: str) -> None:
+    def check(self, id: str) -> None:
         """Recall slots of a target whose counts changed, if they are too few."""
         target = self._fleet.targets.by_id.get(id)
         occupancy = self._fleet.occupancy
@@ -69,7 +69,7 @@
             log.info("slots recalled", target=id, peer=instance, count=count)
             self._mesh.send(instance, SlotRecall(id, count))
 
-    def forget_old(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop what is known of recalls that may be sent again."""
         for key, again_at in list(self._again_at.items()):
             if again_at <= now:
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -149,7 +149,7 @@
             self.granting,
         )
         self.recalls = SlotRecalls(
-            self.mesh, self.fleet, self.granting, slots, self.keeper.held
+            self.mesh, self.fleet, self.granting, slots, self.keeper.held_jobs
         )
         self.unowned = UnownedLook(
             self.fleet, self.client, dialect, self.mesh, self._granted_in_service
@@ -214,18 +214,18 @@
         self._rows.over = self._target_ends.over
         self.edge.hear_peers = self.mesh.hear_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
-        self.news.item_started = self.granting.used
+        self.news.item_started = self.granting.slot_used
         self.news.count_told = self._count_told
         self._forwarder.placed = self.keeper.check_slots
         self.reach.on_return(self.fleet.targets.store_returned)
         self.fleet.on_change(self.keeper.fleet_changed)
         self.fleet.on_change(self.news.counts_changed)
-        self.configuration.on_change(self.keeper.poke)
-        self.index.on_change(self.keeper.poke)
+        self.configuration.on_change(self.keeper.schedule_check)
+        self.index.on_change(self.keeper.schedule_check)
         self.mesh.on_lose(self._peer_lost)
 
     def _count_told(self, target: str) -> None:
-        self.recalls.look(target)
+        self.recalls.check(target)
         self.keeper.check_slots(target)
 
     def _granted_in_service(self) -> list[Target]:
@@ -235,7 +235,7 @@
             return []
         return [
             target
-            for target in self.granting.granted_here()
+            for target in self.granting.granted_targets()
             if target.service in table.services_by_name
         ]
 
@@ -334,7 +334,7 @@
                 self.mesh.check()
             due = now + TICK_S
             self.fleet.far_counts_are_old = self.mesh.large
-            self.recalls.forget_old(now)
+            self.recalls.expire(now)
             gone = self.fleet.targets.expire(now)
             if gone:
                 log.info("targets gone after an outage", targets=gone)
--- a/tests/gateway/test_cut_off.py
+++ b/tests/gateway/test_cut_off.py
@@ -5,7 +5,7 @@
 import pytest
 
 from caperridge.gateway.jobs.holders import TAKEOVER_AFTER_S
-from caperridge.gateway.jobs.keeper import CHECK_S
+from caperridge.gateway.jobs.keeper import ORPHAN_CHECK_INTERVAL_S
 from gateway.conftest import World, until
 
 NOWHERE = "http://127.0.0.1:1"
@@ -33,7 +33,7 @@
     monkeypatch.setattr(cut.mesh, "incarnation_alive", lambda incarnation: False)
     reached, world.store_of(cut)._base = world.store_of(cut)._base, NOWHERE
     await until(lambda: not cut.reach.reached)
-    await asyncio.sleep(TAKEOVER_AFTER_S + CHECK_S)
+    await asyncio.sleep(TAKEOVER_AFTER_S + ORPHAN_CHECK_INTERVAL_S)
     world.store_of(cut)._base = reached
     await until(lambda: cut.reach.reached)
     await asyncio.sleep(TAKEOVER_AFTER_S / 2)
--- a/tests/gateway/test_holders.py
+++ b/tests/gateway/test_holders.py
@@ -14,7 +14,7 @@
 from caperridge.gateway.jobs.codec import from_bytes, job_to_bytes, to_bytes
 from caperridge.gateway.jobs.holders import TAKEOVER_AFTER_S
 from caperridge.gateway.jobs.index import JobIndex
-from caperridge.gateway.jobs.keeper import CHECK_S, JobKeeper
+from caperridge.gateway.jobs.keeper import ORPHAN_CHECK_INTERVAL_S, JobKeeper
 from caperridge.gateway.jobs.keeping import JobWriter
 from caperridge.gateway.jobs.keys import head_key
 from caperridge.gateway.jobs.model import JobEntry, JobHead, JobItem, JobRequest
@@ -41,7 +41,7 @@
 class NoSlots:
     """Grants nothing; only who holds the job matters here."""
 
-    wanted = False
+    has_requests = False
 
     def on_news(self, call: Any) -> None:
         pass
@@ -119,7 +119,7 @@
         """Look as often as a keeper does, for so long; stop when the job is held."""
         end = self.now + seconds
         while self.now < end:
-            self.now = min(end, self.now + CHECK_S)
+            self.now = min(end, self.now + ORPHAN_CHECK_INTERVAL_S)
             if await self.check():
                 return True
         return False
@@ -151,7 +151,7 @@
     assert not await keeping.check_for(0.2)  # it finds the job held
     keeping.loses("e-2.1")
     assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    assert await keeping.check_for(2 * CHECK_S)
+    assert await keeping.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_a_holder_that_only_the_store_knows_of_has_its_time(
@@ -165,7 +165,7 @@
     keeping.loses("e-2.1")
     keeping.store_says("e-2.1")
     assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    assert await keeping.check_for(3 * CHECK_S)
+    assert await keeping.check_for(3 * ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_late_news_that_a_job_was_given_up_takes_nothing_from_who_has_it(
@@ -174,11 +174,11 @@
     keeping.hears("e-2.1")
     keeping.store_says("e-2.1")
     keeping.told("e-2.1")
-    assert not await keeping.check_for(CHECK_S)
+    assert not await keeping.check_for(ORPHAN_CHECK_INTERVAL_S)
     keeping.loses("e-2.1")
     keeping.told("")
     assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    assert await keeping.check_for(2 * CHECK_S)
+    assert await keeping.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_a_job_of_a_life_that_is_over_is_taken_at_once(keeping: Keeping) -> None:
@@ -186,9 +186,9 @@
     keeping.hears("e-1.1")
     keeping.store_says("e-1.1")
     keeping.told("e-1.1")
-    assert not await keeping.check_for(CHECK_S)
+    assert not await keeping.check_for(ORPHAN_CHECK_INTERVAL_S)
     keeping.hears("e-1.2")
-    assert await keeping.check_for(2 * CHECK_S)
+    assert await keeping.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_after_all_were_lost_jobs_are_taken_as_soon_as_they_are_back(
@@ -197,12 +197,12 @@
     """Nobody knows the holder, and the store names one that has started again."""
     keeping.store_says("e-1.1")
     keeping.hears("e-1.2")
-    assert await keeping.check_for(TAKEOVER_AFTER_S - CHECK_S)
+    assert await keeping.check_for(TAKEOVER_AFTER_S - ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_a_job_of_the_own_life_before_is_taken_at_once(keeping: Keeping) -> None:
     keeping.store_says("e-0.old")
-    assert await keeping.check_for(TAKEOVER_AFTER_S - CHECK_S)
+    assert await keeping.check_for(TAKEOVER_AFTER_S - ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_a_job_of_who_is_never_heard_is_taken_no_later_than_before(
@@ -210,7 +210,7 @@
 ) -> None:
     keeping.store_says("e-1.1")
     assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    assert await keeping.check_for(2 * CHECK_S)
+    assert await keeping.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
 
 
 LIVES = ["e-1.1", "e-1.2", "e-2.1", "e-2.2"]
@@ -250,7 +250,7 @@
             speaking[peer] = life
         for _ in range(looks):
             heard_at |= dict.fromkeys(speaking.values(), keeping.now)
-            keeping.now += CHECK_S
+            keeping.now += ORPHAN_CHECK_INTERVAL_S
             before = keeping.holder
             if not await keeping.check():
                 continue
--- a/tests/gateway/test_item_events.py
+++ b/tests/gateway/test_item_events.py
@@ -86,7 +86,7 @@
     await until(lambda: runner.runs and runner.runs[0].sent == EVENTS // 2)
     for _ in range(TURNS):
         await asyncio.sleep(0)
-    (job,) = instance.keeper.held()
+    (job,) = instance.keeper.held_jobs()
     job.states[0].cancel()
     await until(lambda: len(runner.runs) == 2)
     assert runner.runs[1].resumed_after == EVENTS // 2
--- a/tests/gateway/test_looks.py
+++ b/tests/gateway/test_looks.py
@@ -50,7 +50,7 @@
     await world.ready()
     _tell_online(instance, runner.id, SLOTS)
     assert (await world.submit(instance, "j1", ["x1"])).status == 202
-    await until(lambda: instance.keeper.held())
+    await until(lambda: instance.keeper.held_jobs())
     looks = Looks(instance)
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -67,7 +67,7 @@
 
     def stop() -> None:
         monkeypatch.setattr(keeper, "LOOK_S", NEVER_S)
-        monkeypatch.setattr(keeper, "CHECK_S", NEVER_S)
+        monkeypatch.setattr(keeper, "ORPHAN_CHECK_INTERVAL_S", NEVER_S)
 
     return stop
 
@@ -109,7 +109,7 @@
 
 async def _last_look(instance: GatewayInstance) -> None:
     looks = Looks(instance)
-    instance.keeper.poke()
+    instance.keeper.schedule_check()
     await until(lambda: looks.count > 0)
 
 
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -140,7 +140,7 @@
     await world.ready()
     assert (await world.submit(holder, "j1", ITEMS)).status == 202
     await listed(world, far, "j1", len(ITEMS))
-    await until(lambda: not far.granting.wanted, within_s=1.0)
+    await until(lambda: not far.granting.has_requests, within_s=1.0)
 
 
 async def test_a_job_starts_at_once_while_others_elsewhere_were_done(
