--- a/src/caperridge/gateway/jobs/granting.py
+++ b/src/caperridge/gateway/jobs/granting.py
@@ -69,7 +69,7 @@
         self._news: Callable[[], None] = lambda: None
         mesh.register(SlotWants, self._peer_wants)
         mesh.register(SlotDecline, self._declined)
-        mesh.on_lose(lambda member: self._forget(member.id))
+        mesh.on_lost(lambda member: self._forget(member.id))
 
     def on_news(self, call: Callable[[], None]) -> None:
         """Have ``call`` called when there may be slots to grant."""
--- a/src/caperridge/gateway/jobs/holders.py
+++ b/src/caperridge/gateway/jobs/holders.py
@@ -89,7 +89,7 @@
             self._unheard_by_id.pop(id, None)
             return False
         since = self._since(id, holder, now)
-        if lives.is_over(self._peers, holder):
+        if lives.is_superseded(self._peers, holder):
             return True
         since = max(since, lives.lost_at(self._peers, holder))
         return now - since >= TAKEOVER_AFTER_S
--- a/src/caperridge/gateway/mesh/lives.py
+++ b/src/caperridge/gateway/mesh/lives.py
@@ -20,7 +20,7 @@
     return f"{instance}.{secrets.token_hex(4)}"
 
 
-def is_over(peers: Peers, incarnation: str) -> bool:
+def is_superseded(peers: Peers, incarnation: str) -> bool:
     """Whether a later life of the same instance is heard from, or is the own one."""
     instance = incarnation.rpartition(".")[0]
     if instance == peers.instance:
--- a/src/caperridge/gateway/mesh/member.py
+++ b/src/caperridge/gateway/mesh/member.py
@@ -10,7 +10,7 @@
         zone: its availability zone; empty if not known.
         incarnation: of its life as last heard; empty if never.
         previous_incarnation: that was heard before the present one.
-        heard_at: when its last message came; -inf if none did or its stream ended.
+        last_received_at: when its last message came; -inf if none did or its stream ended.
         lost_at: when it was first found to be silent; None while it is heard.
         reported_lost_at: when its zone last reported it as lost.
         leaving: it said that it takes no new work.
@@ -23,7 +23,7 @@
         "address",
         "affinity",
         "avoid_until",
-        "heard_at",
+        "last_received_at",
         "id",
         "incarnation",
         "leaving",
@@ -43,7 +43,7 @@
         self.zone = zone
         self.incarnation = ""
         self.previous_incarnation = ""
-        self.heard_at = float("-inf")
+        self.last_received_at = float("-inf")
         self.lost_at: float | None = now
         self.reported_lost_at = float("-inf")
         self.leaving = False
--- a/src/caperridge/gateway/mesh/mesh.py
+++ b/src/caperridge/gateway/mesh/mesh.py
@@ -89,19 +89,19 @@
         """Have ``call`` called when a member begins to be heard from."""
         self._appeared.append(call)
 
-    def on_lose(self, call: Callable[[Member], None]) -> None:
+    def on_lost(self, call: Callable[[Member], None]) -> None:
         """Have ``call`` called when a member is not heard from any more."""
         self._lost.append(call)
 
-    def say_first(self, call: Callable[[], Record]) -> None:
+    def send_on_connect(self, call: Callable[[], Record]) -> None:
         """Have what ``call`` returns sent on each connection that is made to a peer."""
         self._said_first.append(call)
 
-    def after_hearing(self, call: Callable[[], None]) -> None:
+    def on_messages_received(self, call: Callable[[], None]) -> None:
         """Have ``call`` called after the messages of one turn were heard."""
         self._after_hearing.append(call)
 
-    def hear_now(self) -> None:
+    def receive_now(self) -> None:
         """Take the messages that have come, before something is decided by them."""
         if self._reader is not None:
             self._reader.read_now()
@@ -151,9 +151,9 @@
         own = incarnation == self.incarnation
         return own or self.roster.incarnation_alive(incarnation)
 
-    def leaves(self, id: str, leaving: bool) -> None:
+    def set_leaving(self, id: str, leaving: bool) -> None:
         """Note whether a member takes no new work."""
-        self.roster.leaves(id, leaving)
+        self.roster.set_leaving(id, leaving)
 
     def learn(self, id: str, address: str, zone: str) -> None:
         """Take note of an instance that is listed somewhere."""
@@ -163,20 +163,20 @@
         if self.roster.learn(id, address, zone, now):
             self._dialers.members_changed()
 
-    def check(self) -> None:
+    def check_members(self) -> None:
         """Find members that have fallen silent; forget those long gone."""
         now = asyncio.get_running_loop().time()
         for member in list(self.members_by_id.values()):
-            silence_s = now - member.heard_at
+            silence_s = now - member.last_received_at
             if member.lost_at is None:
                 if silence_s <= SILENCE_S:
                     continue
                 if silence_s <= FAR_SILENCE_S and not self.is_near(member):
                     continue
-                self.lose(member, "it is silent")
+                self.mark_lost(member, "it is silent")
             self._dialers.renew(member)
             if now - max(member.lost_at, member.listed_at) > FORGET_S:
-                self.roster.forget(member)
+                self.roster.remove(member)
         self._dialers.reconcile_if_due()
 
     def hello(self, of_all: bool = True) -> Hello:
@@ -226,7 +226,7 @@
         """Queue ``message`` for the peers that are told everything at once."""
         self._send_to(self.roster.near(), message)
 
-    def send_quiet(self, message: Record) -> None:
+    def send_to_idle(self, message: Record) -> None:
         """Queue ``message`` for the near peers that were told nothing lately."""
         before = asyncio.get_running_loop().time() - RECENT_S
         quiet: list[Member] = []
@@ -244,7 +244,7 @@
         """Queue ``message`` for one contact in each zone, in turn, or for all."""
         self._send_to(self._relay.contacts(all_contacts), message)
 
-    def send_some(self, message: Record) -> None:
+    def gossip(self, message: Record) -> None:
         """Queue ``message`` for near peers, for some at random if there are many."""
         members = self.roster.near()
         if self.large:
@@ -311,7 +311,7 @@
             return  # it has chosen another contact, or its own zone reports its end
         others = any(one.incarnation == stream.incarnation for one in self._streams)
         if member.lost_at is None and not others:
-            self.lose(member, reason)
+            self.mark_lost(member, reason)
             self._relay.report_lost(member)
 
     def _greeted(self, hello: Hello) -> None:
@@ -336,7 +336,7 @@
     ) -> None:
         """Note of which life a member is heard, and where."""
         if member.lost_at is None and member.incarnation != incarnation:
-            self.lose(member, "it was started again")
+            self.mark_lost(member, "it was started again")
         moved = member.address != address or member.zone != zone
         member.address = address
         member.zone = zone
@@ -357,7 +357,7 @@
 
     def mark_alive(self, member: Member) -> None:
         """Note that a member lives."""
-        member.heard_at = asyncio.get_running_loop().time()
+        member.last_received_at = asyncio.get_running_loop().time()
         if member.lost_at is None:
             return
         member.lost_at = None
@@ -372,7 +372,7 @@
         if handler is not None:
             handler(member.id, message)
 
-    def lose(self, member: Member, reason: str) -> None:
+    def mark_lost(self, member: Member, reason: str) -> None:
         """Note that a member is not heard from any more."""
         member.lost_at = asyncio.get_running_loop().time()
         self.roster.changes += 1
--- a/src/caperridge/gateway/mesh/relay.py
+++ b/src/caperridge/gateway/mesh/relay.py
@@ -44,11 +44,11 @@
     def register(self, kind: type[Record], handler: Callable[[str, Any], None]) -> None:
         """See :meth:`Mesh.register`."""
 
-    def after_hearing(self, call: Callable[[], None]) -> None:
-        """See :meth:`Mesh.after_hearing`."""
+    def on_messages_received(self, call: Callable[[], None]) -> None:
+        """See :meth:`Mesh.on_messages_received`."""
 
-    def on_lose(self, call: Callable[[Member], None]) -> None:
-        """See :meth:`Mesh.on_lose`."""
+    def on_lost(self, call: Callable[[Member], None]) -> None:
+        """See :meth:`Mesh.on_lost`."""
 
     def send(self, instance: str, message: Record) -> bool:
         """See :meth:`Mesh.send`."""
@@ -70,8 +70,8 @@
     def dispatch(self, member: Member, message: Record) -> None:
         """See :meth:`Mesh.dispatch`."""
 
-    def lose(self, member: Member, reason: str) -> None:
-        """See :meth:`Mesh.lose`."""
+    def mark_lost(self, member: Member, reason: str) -> None:
+        """See :meth:`Mesh.mark_lost`."""
 
 
 class ZoneRelay:
@@ -97,8 +97,8 @@
         self._mesh.register(Relayed, self._relayed)
         self._mesh.register(RelayedHeartbeats, self._relayed_heartbeats)
         self._mesh.register(MemberLost, self._member_lost)
-        self._mesh.after_hearing(self._flush)
-        self._mesh.on_lose(self._forget_heartbeat)
+        self._mesh.on_messages_received(self._flush)
+        self._mesh.on_lost(self._forget_heartbeat)
 
     # What this instance says elsewhere.
 
@@ -152,7 +152,7 @@
         connected = self._connected_contacts(zone)
         since = asyncio.get_running_loop().time() - CONTACT_FRESH_S
         for contact in connected:
-            if contact.heard_at >= since:
+            if contact.last_received_at >= since:
                 return contact
         return connected[0] if connected else None
 
@@ -239,7 +239,7 @@
             member = self._roster.members_by_id.get(instance)
             if member is not None and self._is_unchanged(member, heartbeat):
                 # Most do, and there are some hundred a second.
-                member.heard_at = member.listed_at = now
+                member.last_received_at = member.listed_at = now
                 continue
             incarnation, address, zone, leaving, reached, counts, *_ = heartbeat[1:]
             member = self._note_alive(instance, incarnation, address, zone)
@@ -285,4 +285,4 @@
         if member.incarnation != news.incarnation or member.lost_at is not None:
             return
         member.reported_lost_at = asyncio.get_running_loop().time()
-        self._mesh.lose(member, "its zone lost it")
+        self._mesh.mark_lost(member, "its zone lost it")
--- a/src/caperridge/gateway/mesh/roster.py
+++ b/src/caperridge/gateway/mesh/roster.py
@@ -92,7 +92,7 @@
         self.changes += 1
         return True
 
-    def leaves(self, id: str, leaving: bool) -> None:
+    def set_leaving(self, id: str, leaving: bool) -> None:
         """Note whether a member takes no new work."""
         member = self.members_by_id.get(id)
         if member is not None and member.leaving != leaving:
@@ -108,7 +108,7 @@
         self.changes += 1
         return True
 
-    def forget(self, member: Member) -> None:
+    def remove(self, member: Member) -> None:
         """Drop a member that is long gone."""
         del self.members_by_id[member.id]
         self.changes += 1
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -97,9 +97,9 @@
         for watcher in watchers:
             watcher.publish = functools.partial(self._publish, watcher)
         mesh.on_appear(self._appeared)
-        mesh.on_lose(self._peer_lost)
-        mesh.say_first(self._first_word)
-        mesh.after_hearing(self._heard_all)
+        mesh.on_lost(self._peer_lost)
+        mesh.send_on_connect(self._first_word)
+        mesh.on_messages_received(self._heard_all)
 
     def beat(self) -> None:
         """Tell that this instance lives, and now and then all it has to tell.
@@ -111,12 +111,12 @@
         self._mesh.relay_heartbeats()
         unchanged = state == self._told_state and self._beats % WHOLE_BEATS
         if unchanged and not self._mesh.large:
-            self._mesh.send_quiet(Alive())
+            self._mesh.send_to_idle(Alive())
             return
         whole = self._whole(with_lengths=not self._mesh.large)
         self._mesh.send_contacts(whole, all_contacts=self.leaving)
         if unchanged:
-            self._mesh.send_quiet(Alive())
+            self._mesh.send_to_idle(Alive())
             return
         self._told_state = state
         self._mesh.send_near(whole)
@@ -177,7 +177,7 @@
         version = self._watchers_by_table[table].copy.version
         if version > self._told_versions.get(table, 0):
             self._told_versions[table] = version
-            self._mesh.send_some(TableNews(table, version))
+            self._mesh.gossip(TableNews(table, version))
 
     def _flush(self) -> None:
         """Tell the counts that changed to whoever may use those targets."""
@@ -227,7 +227,7 @@
         news = self._mesh.roster.reaches_store(peer, beat.store_reached)
         if news and not beat.store_reached and self._reads_for_this_zone(peer):
             self._reach.recheck()
-        self._mesh.leaves(peer, beat.leaving)
+        self._mesh.set_leaving(peer, beat.leaving)
         counts = {target: Count(*count) for target, *count in beat.counts}
         if self._fleet.occupancy.told_all(peer, counts):
             self._heard_counts = True
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -212,7 +212,7 @@
         self._rows.taken = self.news.table_changed
         self._rows.gone = self._target_ends.gone
         self._rows.over = self._target_ends.over
-        self.edge.hear_peers = self.mesh.hear_now
+        self.edge.hear_peers = self.mesh.receive_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
         self.news.item_started = self.granting.used
         self.news.count_told = self._count_told
@@ -222,7 +222,7 @@
         self.fleet.on_change(self.news.counts_changed)
         self.configuration.on_change(self.keeper.poke)
         self.index.on_change(self.keeper.poke)
-        self.mesh.on_lose(self._peer_lost)
+        self.mesh.on_lost(self._peer_lost)
 
     def _count_told(self, target: str) -> None:
         self.recalls.look(target)
@@ -331,7 +331,7 @@
         while True:
             now = elapsed_s()
             if not self._stood_still(watch.look(now - due)):
-                self.mesh.check()
+                self.mesh.check_members()
             due = now + TICK_S
             self.fleet.far_counts_are_old = self.mesh.large
             self.recalls.forget_old(now)
@@ -351,7 +351,7 @@
         if standstill.stood_s < STANDSTILL_S:
             return False
         self.metrics.standstill.observe(standstill.stood_s)
-        self.mesh.hear_now()
+        self.mesh.receive_now()
         log.warning(
             "instance stood still",
             stood_s=round(standstill.stood_s, 3),
--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -98,7 +98,7 @@
         mesh.register(TargetEnded, self._peer_lost_runs)
         mesh.register(SoundRuns, self._peer_ran_well)
         mesh.register(Suspects, self._peer_suspects)
-        mesh.say_first(self._first_word)
+        mesh.send_on_connect(self._first_word)
 
     # Asked before a request is sent.
 
--- a/src/caperridge/gateway/unowned.py
+++ b/src/caperridge/gateway/unowned.py
@@ -61,7 +61,7 @@
         self._last_by_target: dict[str, int] = {}
         self._told_at_by_target: dict[str, float] = {}
         mesh.register(UnownedRuns, self._told)
-        mesh.on_lose(self._lost)
+        mesh.on_lost(self._lost)
 
     def _lost(self, member: Member) -> None:
         if not member.leaving:  # a planned stop leaves no runs behind
--- a/src/caperridge/gateway/zones.py
+++ b/src/caperridge/gateway/zones.py
@@ -35,7 +35,7 @@
     suspect_after_s = SUSPECT_FAR_AFTER_S if peers.large else SUSPECT_AFTER_S
     suspect_for_s = SUSPECT_FAR_FOR_S if peers.large else SUSPECT_FOR_S
     for member in peers.members_by_id.values():
-        silence_s = now - member.heard_at
+        silence_s = now - member.last_received_at
         if silence_s <= suspect_after_s:
             heard.add(member.zone)
         elif silence_s <= suspect_for_s and not _ended(member):
@@ -45,4 +45,7 @@
 
 def _ended(member: Member) -> bool:
     """Whether a member's stream ended, which a zone that is cut off does not cause."""
-    return member.lost_at is not None and member.lost_at - member.heard_at < SILENCE_S
+    return (
+        member.lost_at is not None
+        and member.lost_at - member.last_received_at < SILENCE_S
+    )
--- a/tests/gateway/test_contacts.py
+++ b/tests/gateway/test_contacts.py
@@ -204,7 +204,7 @@
     relay = asking.mesh._relay
     await until(lambda: len(relay._connected_contacts("b")) == CONTACTS_PER_ZONE)
     first = relay._best_contact("b")
-    first.heard_at -= 10.0
+    first.last_received_at -= 10.0
     assert relay._best_contact("b") is not first
 
 
@@ -241,6 +241,6 @@
     assert near.fleet.occupancy.of(member.id, "i-0").online == 3
     relay._relayed_heartbeats("", sign)
     assert near.fleet.occupancy.of(member.id, "i-0").online == 1
-    heard_at = member.heard_at
+    heard_at = member.last_received_at
     relay._relayed_heartbeats("", sign)
-    assert member.heard_at > heard_at
+    assert member.last_received_at > heard_at
--- a/tests/gateway/test_holders.py
+++ b/tests/gateway/test_holders.py
@@ -93,7 +93,7 @@
         members = self.mesh.members_by_id
         member = members.setdefault(id, Member(id, id, "a", self.now))
         if member.lost_at is None and member.incarnation != incarnation:
-            self.mesh.lose(member, "it was started again")
+            self.mesh.mark_lost(member, "it was started again")
         member.incarnation = incarnation
         self.mesh.roster.changes += 1
         self.mesh._heard(member, None)
@@ -102,7 +102,7 @@
         """Find that a life of a peer is silent."""
         member = self.mesh.members_by_id.get(incarnation.partition(".")[0])
         if member is not None and member.lost_at is None:
-            self.mesh.lose(member, "it is silent")
+            self.mesh.mark_lost(member, "it is silent")
 
     def told(self, holder: str) -> None:
         """Hear that ``holder`` has the job."""
--- a/tests/gateway/test_many_messages.py
+++ b/tests/gateway/test_many_messages.py
@@ -196,7 +196,7 @@
             await zone.until(lambda of=number: _heard(zone, f"i-{of}"))
         await _tell(zone, "i-2", "i-3")
         assert not _heard(zone, "i-2")
-        zone.mesh.hear_now()
+        zone.mesh.receive_now()
         assert _heard(zone, "i-2") and _heard(zone, "i-3")
 
     stepped.run(play())
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -113,8 +113,8 @@
     peer = await world.add_instance(zone=zone)
     await world.ready()
     member = instance.mesh.members_by_id[peer.settings.instance]
-    member.heard_at = asyncio.get_running_loop().time() - silent_s
-    instance.mesh.check()
+    member.last_received_at = asyncio.get_running_loop().time() - silent_s
+    instance.mesh.check_members()
     assert (member.lost_at is not None) == lost
 
 
--- a/tests/gateway/test_silent_connections.py
+++ b/tests/gateway/test_silent_connections.py
@@ -203,7 +203,7 @@
     async def beat(self) -> None:
         while True:
             for mesh in self.meshes:
-                mesh.check()
+                mesh.check_members()
                 mesh.send_all(Heartbeat([], {}))
             await asyncio.sleep(TICK_S)
 
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -170,7 +170,7 @@
 ) -> None:
     lost: list[str] = []
     for instance in world.instances:
-        instance.mesh.on_lose(lambda member: lost.append(member.id))
+        instance.mesh.on_lost(lambda member: lost.append(member.id))
     await suspension.of(seconds)
     assert all(instance.ready for instance in world.instances)
     for number, instance in enumerate(world.instances):
--- a/tests/gateway/test_zones.py
+++ b/tests/gateway/test_zones.py
@@ -31,7 +31,7 @@
         for number in range(9):
             member = Member(f"e-{number}", "", "abc"[number % 3], NOW)
             member.lost_at = None
-            member.heard_at = LATELY
+            member.last_received_at = LATELY
             self.members_by_id[member.id] = member
 
     def of(self, zone: str) -> list[Member]:
@@ -39,7 +39,7 @@
 
     def silence(self, zone: str, heard_at: float = SILENT) -> None:
         for member in self.of(zone):
-            member.heard_at = heard_at
+            member.last_received_at = heard_at
 
 
 @pytest.fixture
@@ -55,7 +55,7 @@
 def test_it_is_silent_still_when_its_peers_are_lost(peers: Peers) -> None:
     peers.silence("b")
     for member in peers.of("b"):
-        member.lost_at = member.heard_at + SILENCE_S
+        member.lost_at = member.last_received_at + SILENCE_S
     assert silent_zones(peers, NOW) == {"b"}
 
 
@@ -67,7 +67,7 @@
 
 def test_one_peer_that_is_heard_speaks_for_its_zone(peers: Peers) -> None:
     peers.silence("b")
-    peers.of("b")[0].heard_at = LATELY
+    peers.of("b")[0].last_received_at = LATELY
     assert silent_zones(peers, NOW) == frozenset()
 
 
@@ -86,7 +86,7 @@
     """Their zone's targets may be well; an instance that crashes takes none along."""
     peers.silence("b")
     for member in peers.of("b"):
-        member.lost_at = member.heard_at + 0.1
+        member.lost_at = member.last_received_at + 0.1
     assert silent_zones(peers, NOW) == frozenset()
 
 
@@ -119,7 +119,7 @@
 ) -> None:
     peers.large = True
     peers.silence("b")
-    peers.of("b")[0].heard_at = LATELY
+    peers.of("b")[0].last_received_at = LATELY
     assert silent_zones(peers, NOW) == frozenset()
 
 
--- a/tests/policy/test_zone_cut_in_a_burst.py
+++ b/tests/policy/test_zone_cut_in_a_burst.py
@@ -60,7 +60,7 @@
             across = (member.zone == CUT) != (self.zone == CUT)
             heard_until = min(now, CUT_AT + BEAT_S) if across else now
             jitter = score(member.id, "beat") % 1000 / 1000 * BEAT_S
-            member.heard_at = heard_until - jitter
+            member.last_received_at = heard_until - jitter
             member.lost_at = None
 
     def fill_own_zone(self) -> None:
@@ -126,5 +126,5 @@
     view.hear_until(now)
     for number, member in enumerate(view.peers.members_by_id.values()):
         if member.zone == CUT and number % 2:
-            member.heard_at = now - BEAT_S
+            member.last_received_at = now - BEAT_S
     assert CUT in view.zones_used(now)
