--- a/src/caperridge/gateway/held_rows.py
+++ b/src/caperridge/gateway/held_rows.py
@@ -22,7 +22,7 @@
     Transaction,
 )
 from caperridge.gateway.table_copy import TableCopy
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from caperridge.log import logger
 from caperridge.records import Record
 
@@ -31,7 +31,7 @@
 TABLE = "held-requests"
 # Ends that are worth a row: with one more a request is held, and all instances may be
 # lost before that one comes.
-KEPT_ENDS = 2
+MIN_STORED_CRASHES = 2
 # While the store is away.
 PAUSE_S = 1.0
 # Between two writes; a crash makes a few rows, and no hurry.
@@ -69,7 +69,7 @@
         self.trial_at = trial_at
 
 
-class HeldRows:
+class QuarantineTable:
     """Keeps suspects in the store and takes what others kept.
 
     Args:
@@ -83,7 +83,7 @@
         self,
         store: RowStore,
         clock: StoreClock,
-        reach: StoreReach,
+        reach: StoreReachability,
         quarantine: Quarantine,
     ) -> None:
         self.copy = TableCopy(TABLE)
@@ -95,7 +95,7 @@
         self._changed: dict[str, None] = {}
         self._wake = asyncio.Event()
 
-    def changed(self, content: str) -> None:
+    def schedule_write(self, content: str) -> None:
         """Have the row of a content written, or removed, soon."""
         self._changed[content] = None
         self._wake.set()
@@ -135,7 +135,7 @@
             return True
         return await self._transact(Transaction({key: version}, {}, [key]), key)
 
-    async def claim(self, suspect: Suspect) -> bool:
+    async def claim_trial(self, suspect: Suspect) -> bool:
         """Take the right to try a request again; one instance gets it each time."""
         key = _key(suspect.content)
         row = self.copy.rows_by_key.get(key)
@@ -168,10 +168,10 @@
             if now is None:
                 self.copy.rows_by_key.pop(key, None)
             elif self.copy.take_row(now):
-                self.take([now], "store")
+                self.apply_rows([now], "store")
         return False
 
-    def take(self, rows: list[StoredRow], source: str) -> list[str]:
+    def apply_rows(self, rows: list[StoredRow], source: str) -> list[str]:
         """Take rows that were news; return the contents whose holds changed."""
         news: list[str] = []
         for row in rows:
@@ -200,11 +200,11 @@
                 )
         return news
 
-    def sweep(self) -> None:
+    def remove_expired(self) -> None:
         """Have rows removed of which nothing was heard for long."""
         for key in self.copy.rows_by_key:
             if key.key not in self._quarantine.by_content:
-                self.changed(key.key)
+                self.schedule_write(key.key)
 
     # Between the store's clock and that of this machine.
 
@@ -260,4 +260,4 @@
 
 
 def _is_worth_a_row(suspect: Suspect) -> bool:
-    return suspect.hold is not None or len(suspect.ends) >= KEPT_ENDS
+    return suspect.hold is not None or len(suspect.ends) >= MIN_STORED_CRASHES
--- a/src/caperridge/gateway/jobs/keeper.py
+++ b/src/caperridge/gateway/jobs/keeper.py
@@ -26,7 +26,7 @@
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import JobNews, SlotGrant
 from caperridge.gateway.rows import RowStore, StoredRow, Transaction
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from caperridge.log import logger
 
 log = logger(__name__)
@@ -53,7 +53,7 @@
         index: JobIndex,
         configuration: ConfigurationInForce,
         mesh: Mesh,
-        reach: StoreReach,
+        reach: StoreReachability,
         writer: JobWriter,
         claimer: JobClaimer,
         slots: ItemSlots,
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -20,15 +20,19 @@
 from caperridge.gateway.occupancy import Count
 from caperridge.gateway.rows import RowKey, StoredRow
 from caperridge.gateway.table_copy import TableCopy
-from caperridge.gateway.watcher import PEER_PATIENCE_S, StoreReach, TableWatcher
+from caperridge.gateway.watcher import (
+    PEER_COPY_DELAY_S,
+    StoreReachability,
+    TableWatcher,
+)
 
 # What changed is told at once, so every third beat tells all; between them near peers
 # that were told nothing lately hear that this instance lives, and far ones nothing.
-WHOLE_BEATS = 3
+FULL_HEARTBEAT_PERIOD_BEATS = 3
 # The store answers a watch that has news within 25 ms; slow days take ten times that.
 SLOW_WATCH_S = 0.3
 # A peer answers within some milliseconds, or it is slow or gone.
-ASK_AGAIN_S = 0.1
+REQUEST_RETRY_DELAY_S = 0.1
 
 
 class Behind:
@@ -50,13 +54,13 @@
         self.timer = timer
 
 
-class PeerNews:
+class PeerUpdates:
     """Sends and takes news.
 
     Attributes:
         leaving: told to peers: this instance takes no new work.
-        item_started: called with a peer and the target where it started an item.
-        count_told: called with a target when a peer told its count there.
+        on_item_started: called with a peer and the target where it started an item.
+        on_count_received: called with a target when a peer told its count there.
 
     Args:
         mesh: of peers.
@@ -70,17 +74,17 @@
         mesh: Mesh,
         fleet: Fleet,
         watchers: list[TableWatcher],
-        reach: StoreReach,
+        reach: StoreReachability,
     ) -> None:
         self.leaving = False
-        self.item_started: Callable[[str, str], None] = lambda peer, target: None
-        self.count_told: Callable[[str], None] = lambda target: None
+        self.on_item_started: Callable[[str, str], None] = lambda peer, target: None
+        self.on_count_received: Callable[[str], None] = lambda target: None
         self._mesh = mesh
         self._reach = reach
         self._fleet = fleet
         self._watchers_by_table = {watcher.copy.table: watcher for watcher in watchers}
         self._urgent_tables = [
-            watcher.copy.table for watcher in watchers if not watcher.spacing_s
+            watcher.copy.table for watcher in watchers if not watcher.min_interval_s
         ]
         self._beats = 0
         self._flushing = False
@@ -101,7 +105,7 @@
         mesh.send_on_connect(self._first_word)
         mesh.on_messages_received(self._heard_all)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tell that this instance lives, and now and then all it has to tell.
 
         Where there are many peers, contacts elsewhere are told all with each beat.
@@ -109,7 +113,9 @@
         state = self._state()
         self._beats += 1
         self._mesh.relay_heartbeats()
-        unchanged = state == self._told_state and self._beats % WHOLE_BEATS
+        unchanged = (
+            state == self._told_state and self._beats % FULL_HEARTBEAT_PERIOD_BEATS
+        )
         if unchanged and not self._mesh.large:
             self._mesh.send_to_idle(Alive())
             return
@@ -213,8 +219,8 @@
             count = Count(*fields)
             before = occupancy.told(peer, target, count)
             if count.items > before.items:
-                self.item_started(peer, target)
-            self.count_told(target)
+                self.on_item_started(peer, target)
+            self.on_count_received(target)
         self._heard_counts = True
 
     def _heard_all(self) -> None:
@@ -276,7 +282,7 @@
         # All near peers were told.
         told = self._told_versions.get(changes.table, 0)
         self._told_versions[changes.table] = max(told, changes.version)
-        watcher.take_changes_from_peer(rows, changes.since, changes.version, peer)
+        watcher.apply_changes_from_peer(rows, changes.since, changes.version, peer)
 
     def _peer_lost(self, member: Member) -> None:
         """Read in its place, if that falls to this instance."""
@@ -314,9 +320,9 @@
 
         A table that is watched now and then only is behind most of the time.
         """
-        spacing_s = self._watchers_by_table[table].spacing_s
+        spacing_s = self._watchers_by_table[table].min_interval_s
         if not spacing_s or not self._reach.reached:
-            return PEER_PATIENCE_S
+            return PEER_COPY_DELAY_S
         return spacing_s + SLOW_WATCH_S
 
     def _ask_in(self, delay_s: float, table: str) -> asyncio.TimerHandle:
@@ -333,7 +339,7 @@
             del self._behind_by_table[table]  # the next heartbeat of a peer tells again
             return
         behind.asked_version = behind.version
-        behind.timer = self._ask_in(ASK_AGAIN_S, table)
+        behind.timer = self._ask_in(REQUEST_RETRY_DELAY_S, table)
 
     def _table_ask(self, peer: str, ask: TableAsk) -> None:
         watcher = self._watchers_by_table.get(ask.table)
@@ -354,7 +360,7 @@
             StoredRow(RowKey(whole.table, part, key), value, version)
             for part, key, value, version in whole.rows
         ]
-        watcher.take_from_peer(rows, whole.version, peer)
+        watcher.apply_snapshot_from_peer(rows, whole.version, peer)
         behind = self._behind_by_table.get(whole.table)
         if behind is not None and behind.version > behind.asked_version:
             behind.timer.cancel()
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -20,7 +20,7 @@
 from caperridge.gateway.edge import Edge
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.forwarding import Forwarder
-from caperridge.gateway.held_rows import HeldRows
+from caperridge.gateway.held_rows import QuarantineTable
 from caperridge.gateway.jobs.acceptance import JobAcceptance
 from caperridge.gateway.jobs.broker import SlotBroker
 from caperridge.gateway.jobs.claims import JobClaimer
@@ -42,7 +42,7 @@
 from caperridge.gateway.mesh.member import Member
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.metrics import GatewayMetrics
-from caperridge.gateway.news import PeerNews
+from caperridge.gateway.news import PeerUpdates
 from caperridge.gateway.observed_store import ObservedStore
 from caperridge.gateway.registry import InstanceRegistry
 from caperridge.gateway.relayed_store import RelayedStore
@@ -57,9 +57,9 @@
 from caperridge.gateway.table_rows import TableRows
 from caperridge.gateway.target_ends import TargetEnds
 from caperridge.gateway.targets import Target
-from caperridge.gateway.unowned import UnownedLook
+from caperridge.gateway.unowned import OrphanedRunScan
 from caperridge.gateway.upstream import TargetClient
-from caperridge.gateway.watcher import Changed, StoreReach, TableWatcher
+from caperridge.gateway.watcher import Changed, StoreReachability, TableWatcher
 from caperridge.gateway.zones import silent_zones
 from caperridge.log import logger
 
@@ -98,7 +98,7 @@
         self.configuration = ConfigurationInForce()
         self.fleet = Fleet(settings.instance, settings.availability_zone, chance)
         self.clock = StoreClock()
-        self.reach = StoreReach()
+        self.reach = StoreReachability()
         self.index = JobIndex()
         self.mesh = Mesh(
             settings.instance,
@@ -115,7 +115,7 @@
         repeating = RepeatingStore(store)
         self.client = TargetClient(dialect)
         quarantine = Quarantine()
-        held_rows = HeldRows(repeating, self.clock, self.reach, quarantine)
+        held_rows = QuarantineTable(repeating, self.clock, self.reach, quarantine)
         self._target_ends = TargetEnds(self.fleet)
         self.guard = RequestGuard(
             quarantine,
@@ -151,7 +151,7 @@
         self.recalls = SlotRecalls(
             self.mesh, self.fleet, self.granting, slots, self.keeper.held
         )
-        self.unowned = UnownedLook(
+        self.unowned = OrphanedRunScan(
             self.fleet, self.client, dialect, self.mesh, self._granted_in_service
         )
         acceptance = JobAcceptance(repeating, self.index, self.clock, chance)
@@ -174,7 +174,7 @@
             self.metrics,
         )
         self._watchers = self._make_watchers(dialect, chance)
-        self.news = PeerNews(self.mesh, self.fleet, self._watchers, self.reach)
+        self.news = PeerUpdates(self.mesh, self.fleet, self._watchers, self.reach)
         self.registry = InstanceRegistry(store, self.mesh)
         self.sweeper = JobSweeper(
             store, self.index, self.clock, self.mesh, settings.jobs_kept_s
@@ -214,10 +214,10 @@
         self._rows.over = self._target_ends.over
         self.edge.hear_peers = self.mesh.receive_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
-        self.news.item_started = self.granting.used
-        self.news.count_told = self._count_told
+        self.news.on_item_started = self.granting.used
+        self.news.on_count_received = self._count_told
         self._forwarder.placed = self.keeper.check_slots
-        self.reach.on_return(self.fleet.targets.store_returned)
+        self.reach.on_recovered(self.fleet.targets.store_returned)
         self.fleet.on_change(self.keeper.fleet_changed)
         self.fleet.on_change(self.news.counts_changed)
         self.configuration.on_change(self.keeper.poke)
@@ -294,7 +294,7 @@
         return await PlannedStop(self.edge, self._door, steps).run(grace_s)
 
     async def _tell_peers(self) -> None:
-        self.news.beat()
+        self.news.send_heartbeat()
 
     def reload(self, settings: Settings) -> None:
         """Take changed settings; those of listeners hold from the next start on."""
@@ -364,7 +364,7 @@
 
     async def _beat(self) -> None:
         while True:
-            self.news.beat()
+            self.news.send_heartbeat()
             await asyncio.sleep(BEAT_S)
 
     async def _probe(self) -> None:
--- a/src/caperridge/gateway/relayed_store.py
+++ b/src/caperridge/gateway/relayed_store.py
@@ -31,7 +31,7 @@
     Transaction,
     TransactionError,
 )
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from caperridge.log import logger
 from caperridge.store.interface import NotDone, Unknown
 
@@ -55,7 +55,11 @@
     """
 
     def __init__(
-        self, store: RowStore, mesh: Mesh, reach: StoreReach, chance: random.Random
+        self,
+        store: RowStore,
+        mesh: Mesh,
+        reach: StoreReachability,
+        chance: random.Random,
     ) -> None:
         self._store = store
         self._mesh = mesh
@@ -105,7 +109,9 @@
 
     async def _call(self, name: str, arguments: list[Any]) -> Result[Any, Any]:
         loop = asyncio.get_running_loop()
-        away = loop.time() < self._away_until or self._reach.away_since is not None
+        away = (
+            loop.time() < self._away_until or self._reach.unreachable_since is not None
+        )
         if away:
             answer = await self._by_peer(name, arguments)
             if answer is not None:
--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -15,7 +15,7 @@
 from caperridge.elapsed import elapsed_s
 from caperridge.gateway.fingerprint import Fingerprint
 from caperridge.gateway.fleet import Fleet
-from caperridge.gateway.held_rows import KEPT_ENDS, HeldRows
+from caperridge.gateway.held_rows import MIN_STORED_CRASHES, QuarantineTable
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import SoundRuns, Suspects, TargetEnded
 from caperridge.gateway.metrics import GatewayMetrics
@@ -79,7 +79,7 @@
         self,
         quarantine: Quarantine,
         ends: TargetEnds,
-        rows: HeldRows,
+        rows: QuarantineTable,
         mesh: Mesh,
         fleet: Fleet,
         metrics: GatewayMetrics,
@@ -181,7 +181,7 @@
 
     def take_rows(self, rows: list[StoredRow], source: str) -> None:
         """Take rows of held requests that were news."""
-        if self.rows.take(rows, source):
+        if self.rows.apply_rows(rows, source):
             self._judge_soon()
             self._count()
 
@@ -208,8 +208,8 @@
         for content in news:
             suspect = self.quarantine.by_content.get(content)
             own = reported_by == self._mesh.instance
-            if own and suspect is not None and len(suspect.ends) >= KEPT_ENDS:
-                self.rows.changed(content)
+            if own and suspect is not None and len(suspect.ends) >= MIN_STORED_CRASHES:
+                self.rows.schedule_write(content)
         if news:
             self._judge_soon()
         self._say_what_ran_well(runs)
@@ -255,7 +255,7 @@
         """Note a good run of a suspect."""
         suspect = self.quarantine.by_content[content]
         log.info("suspect ran well", reported_by=reported_by, **_told(suspect))
-        self.rows.changed(content)
+        self.rows.schedule_write(content)
         self._count()
 
     # Judging.
@@ -274,7 +274,7 @@
     def _judge(self) -> None:
         for suspect in self.quarantine.judge(elapsed_s()):
             log.warning("request put in quarantine", **_told(suspect))
-            self.rows.changed(suspect.content)
+            self.rows.schedule_write(suspect.content)
             self._count()
             self.quarantined(suspect.content)
 
@@ -315,7 +315,7 @@
             return False
         self._claiming.add(suspect.content)
         try:
-            return await self.rows.claim(suspect)
+            return await self.rows.claim_trial(suspect)
         finally:
             self._claiming.discard(suspect.content)
 
@@ -324,7 +324,7 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             self.quarantine.forget(elapsed_s())
-            self.rows.sweep()
+            self.rows.remove_expired()
             self._count()
 
     def state(self) -> list[dict[str, Any]]:
--- a/src/caperridge/gateway/table_readers.py
+++ b/src/caperridge/gateway/table_readers.py
@@ -7,7 +7,7 @@
 
 from caperridge.decisions.rendezvous import score
 from caperridge.gateway.mesh.mesh import Mesh
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 
 # One may stand still or be lost; its peers find out within 1.5 s.
 READERS_PER_ZONE = 2
@@ -23,7 +23,7 @@
 
     __slots__ = ("_key", "_mesh", "_reach", "_reads_by_table")
 
-    def __init__(self, mesh: Mesh, reach: StoreReach) -> None:
+    def __init__(self, mesh: Mesh, reach: StoreReachability) -> None:
         self._mesh = mesh
         self._reach = reach
         self._key = -1
--- a/src/caperridge/gateway/unowned.py
+++ b/src/caperridge/gateway/unowned.py
@@ -30,10 +30,10 @@
 KEPT_S = 0.8
 ASK_S = 0.3
 # Stands in the counts for whoever started those runs.
-NOBODY = "?"
+ORPHANED = "?"
 
 
-class UnownedLook:
+class OrphanedRunScan:
     """Asks targets while there may be runs that nobody knows of.
 
     Args:
@@ -65,15 +65,15 @@
 
     def _lost(self, member: Member) -> None:
         if not member.leaving:  # a planned stop leaves no runs behind
-            self.begin()
+            self.start_scan()
 
-    def begin(self) -> None:
+    def start_scan(self) -> None:
         """Look for a while from now on."""
         self._until = asyncio.get_running_loop().time() + LOOK_FOR_S
 
     async def run(self) -> None:
         """Look until cancelled; the start is a reason to look."""
-        self.begin()
+        self.start_scan()
         while True:
             now = asyncio.get_running_loop().time()
             self._expire(now)
@@ -100,28 +100,28 @@
         if not load.is_of(target):
             return  # it has started again, and its entry will say so
         occupancy = self._fleet.occupancy
-        known = occupancy.at(target.id).total - occupancy.of(NOBODY, target.id).total
+        known = occupancy.at(target.id).total - occupancy.of(ORPHANED, target.id).total
         unowned = max(0, load.total - known)
         # A run that just ended may still be in one answer; it is not in the next.
         lasting = min(unowned, self._last_by_target.get(target.id, 0))
         self._last_by_target[target.id] = unowned
-        if lasting or occupancy.of(NOBODY, target.id).total:
+        if lasting or occupancy.of(ORPHANED, target.id).total:
             news = UnownedRuns(target.id, lasting)
             self._mesh.send_near(news)
             self._told(self._mesh.instance, news)
 
     def _told(self, peer: str, news: UnownedRuns) -> None:
-        before = self._fleet.occupancy.of(NOBODY, news.target).total
+        before = self._fleet.occupancy.of(ORPHANED, news.target).total
         self._told_at_by_target[news.target] = asyncio.get_running_loop().time()
         if before == news.count:
             return
         log.info("orphaned runs", target=news.target, count=news.count, source=peer)
-        self._fleet.occupancy.told(NOBODY, news.target, Count(news.count))
+        self._fleet.occupancy.told(ORPHANED, news.target, Count(news.count))
         self._fleet.changed()
 
     def _expire(self, now: float) -> None:
         for target, told_at in list(self._told_at_by_target.items()):
             if now - told_at > KEPT_S:
                 del self._told_at_by_target[target]
-                self._fleet.occupancy.told(NOBODY, target, Count())
+                self._fleet.occupancy.told(ORPHANED, target, Count())
                 self._fleet.changed()
--- a/src/caperridge/gateway/watcher.py
+++ b/src/caperridge/gateway/watcher.py
@@ -21,11 +21,11 @@
 
 # How long the store may hold the answer to a watch. Longer saves calls; a dead
 # connection is noticed only after it.
-WATCH_S = 2.0
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.6
+LONG_POLL_S = 2.0
+MIN_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 0.6
 # A version that a peer has is asked for when the store has not told it by then.
-PEER_PATIENCE_S = 0.04
+PEER_COPY_DELAY_S = 0.04
 # How seldom a table is looked at that others read. With four tables an instance finds
 # every 3 s whether the store answers it.
 NON_READER_POLL_S = 12.0
@@ -36,16 +36,16 @@
 Publish = Callable[[list[StoredRow], int, int], None]
 
 
-class StoreReach:
+class StoreReachability:
     """Whether the store answers this instance, as its watches find."""
 
     def __init__(self) -> None:
         self.reached = False
-        self.away_since: float | None = None
+        self.unreachable_since: float | None = None
         self._returned: list[Callable[[float], None]] = []
         self._rechecks: list[Callable[[], None]] = []
 
-    def on_return(self, call: Callable[[float], None]) -> None:
+    def on_recovered(self, call: Callable[[float], None]) -> None:
         """Have ``call`` called with the time when the store answers again."""
         self._returned.append(call)
 
@@ -58,23 +58,25 @@
         for call in self._rechecks:
             call()
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """Note that the store answered."""
         if self.reached:
             return
         now = asyncio.get_running_loop().time()
-        away_s = round(now - self.away_since, 2) if self.away_since else 0.0
+        away_s = (
+            round(now - self.unreachable_since, 2) if self.unreachable_since else 0.0
+        )
         self.reached = True
         log.info("store reached", away_s=away_s)
-        if self.away_since is not None:
+        if self.unreachable_since is not None:
             for call in self._returned:
                 call(now)
-        self.away_since = None
+        self.unreachable_since = None
 
-    def failed(self, reason: str) -> None:
+    def record_failure(self, reason: str) -> None:
         """Note that the store did not answer."""
-        if self.away_since is None:
-            self.away_since = asyncio.get_running_loop().time()
+        if self.unreachable_since is None:
+            self.unreachable_since = asyncio.get_running_loop().time()
         was_reached = self.reached
         self.reached = False
         if was_reached:
@@ -93,7 +95,7 @@
         copy: kept up to date.
         reach: told how the store does.
         changed: called with rows that were news and who told of them.
-        spacing_s: least time between two watches; gathers changes that are no hurry.
+        min_interval_s: least time between two watches; gathers changes that are no hurry.
         reads: whether this instance watches a table all the time.
         chance: spreads looks at tables that others read.
     """
@@ -102,14 +104,14 @@
         self,
         store: RowStore,
         copy: TableCopy,
-        reach: StoreReach,
+        reach: StoreReachability,
         changed: Changed,
-        spacing_s: float = 0.0,
+        min_interval_s: float = 0.0,
         reads: Callable[[str], bool] = lambda table: True,
         chance: random.Random | None = None,
     ) -> None:
         self.copy = copy
-        self.spacing_s = spacing_s
+        self.min_interval_s = min_interval_s
         self.publish: Publish = lambda rows, since, version: None
         self._reads = reads
         self._chance = chance or random.Random()
@@ -121,12 +123,12 @@
 
     async def run(self) -> None:
         """Watch until cancelled."""
-        pause_s = FIRST_PAUSE_S
+        pause_s = MIN_RETRY_DELAY_S
         whole = True
         failed = False
         while True:
             # The first answer after a failure is not waited for until there is news.
-            wait_s = 0.0 if failed or not self.is_reader else WATCH_S
+            wait_s = 0.0 if failed or not self.is_reader else LONG_POLL_S
             answer = await (self._read() if whole else self._watch(wait_s))
             if isinstance(answer, Err):
                 error = answer.err_value
@@ -135,14 +137,14 @@
                     whole = True
                     continue
                 failed = True
-                self._reach.failed(error.reason)
+                self._reach.record_failure(error.reason)
                 await asyncio.sleep(pause_s)
-                pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
+                pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
                 continue
-            pause_s = FIRST_PAUSE_S
+            pause_s = MIN_RETRY_DELAY_S
             whole = failed = False
-            if self.spacing_s:
-                await asyncio.sleep(self.spacing_s)
+            if self.min_interval_s:
+                await asyncio.sleep(self.min_interval_s)
             await self._wait_for_poll()
 
     @property
@@ -169,7 +171,7 @@
                 await self._wake.wait()
         self._wake.clear()
 
-    def take_changes_from_peer(
+    def apply_changes_from_peer(
         self, rows: list[StoredRow], since: int, version: int, peer: str
     ) -> None:
         """Take changes that a peer read; look for what came before them if need be."""
@@ -181,7 +183,9 @@
         if news:
             self._changed(news, peer)
 
-    def take_from_peer(self, rows: list[StoredRow], version: int, peer: str) -> None:
+    def apply_snapshot_from_peer(
+        self, rows: list[StoredRow], version: int, peer: str
+    ) -> None:
         """Take a whole copy that a peer has."""
         news = self.copy.take_whole(rows, version)
         if news:
@@ -192,7 +196,7 @@
         if isinstance(answer, Err):
             return answer
         page: RowsRead = answer.ok_value
-        self._reach.answered()
+        self._reach.record_success()
         known = self.copy.known
         news = self.copy.take_whole(page.rows, page.version)
         if news or not known:
@@ -204,7 +208,7 @@
         answer = await self._store.changes(self.copy.table, since, wait_s)
         if isinstance(answer, Err):
             return answer
-        self._reach.answered()
+        self._reach.record_success()
         page: RowsRead = answer.ok_value
         settled = self.copy.settled_version
         news = self.copy.take_changes(page.rows, since, page.version)
--- a/tests/gateway/test_holders.py
+++ b/tests/gateway/test_holders.py
@@ -22,7 +22,7 @@
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import JobNews
 from caperridge.gateway.rows import StoredRow
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from gateway.conftest import HOST
 from gateway.memory_rows import MemoryRows
 
@@ -60,7 +60,7 @@
         index = JobIndex()
         index.copy.take_whole([], 1)
         index.entries_by_job[JOB] = ENTRY
-        reach = StoreReach()
+        reach = StoreReachability()
         reach.reached = True
         self.keeper = JobKeeper(
             self.rows,
--- a/tests/gateway/test_many_messages.py
+++ b/tests/gateway/test_many_messages.py
@@ -23,8 +23,8 @@
 from caperridge.gateway.mesh.messages import Counts, Hello, TableWhole
 from caperridge.gateway.mesh.paced_reading import PACE_S
 from caperridge.gateway.mesh.streams import encode
-from caperridge.gateway.news import PeerNews
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.news import PeerUpdates
+from caperridge.gateway.watcher import StoreReachability
 from gateway.conftest import free_address
 
 PEERS = 20
@@ -74,7 +74,7 @@
         self.loop = loop
         self.fleet = Fleet("e-0", "a", random.Random(1))
         self.mesh = Mesh("e-0", "e-0.1", "a", free_address(), [], random.Random(1))
-        self.news = PeerNews(self.mesh, self.fleet, [], StoreReach())
+        self.news = PeerUpdates(self.mesh, self.fleet, [], StoreReachability())
         self.fleet.on_change(self.news.counts_changed)
         self.peers: list[socket.socket] = []
 
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -13,7 +13,7 @@
     Heartbeat,
     RelayedHeartbeats,
 )
-from caperridge.gateway.news import WHOLE_BEATS
+from caperridge.gateway.news import FULL_HEARTBEAT_PERIOD_BEATS
 from caperridge.gateway.process import BEAT_S, GatewayInstance
 from gateway.conftest import World, until
 from gateway.test_jobs import ITEMS, listed
@@ -40,11 +40,14 @@
     await world.ready()
     await asyncio.sleep(BEAT_S * 1.5)  # what was new with the connections is told
     heard = Heard(instances[0])
-    await asyncio.sleep(BEAT_S * WHOLE_BEATS * 2)
-    near, far = 2, WHOLE_BEATS  # the far one tells the two of this zone in turn
+    await asyncio.sleep(BEAT_S * FULL_HEARTBEAT_PERIOD_BEATS * 2)
+    near, far = (
+        2,
+        FULL_HEARTBEAT_PERIOD_BEATS,
+    )  # the far one tells the two of this zone in turn
     assert near + far - 2 <= heard[Heartbeat] <= near + far + 2
     # What the near one passes on of the far one is a sign of its own life as well.
-    signs = (WHOLE_BEATS - 1) * 2
+    signs = (FULL_HEARTBEAT_PERIOD_BEATS - 1) * 2
     assert signs - 1 <= heard[Alive] + heard[RelayedHeartbeats] <= signs + near + 1
     kinds = heard[Heartbeat] + heard[Alive] + heard[RelayedHeartbeats]
     assert sum(heard.values()) == kinds
@@ -58,7 +61,7 @@
     await world.ready()
     await asyncio.sleep(BEAT_S * 1.5)
     heard = Heard(hearing)
-    end = asyncio.get_running_loop().time() + BEAT_S * WHOLE_BEATS * 2
+    end = asyncio.get_running_loop().time() + BEAT_S * FULL_HEARTBEAT_PERIOD_BEATS * 2
     while asyncio.get_running_loop().time() < end:
         telling.mesh.send_near(Counts([]))
         await asyncio.sleep(mesh.RECENT_S / 4)
@@ -74,7 +77,7 @@
     await world.ready()
     telling.fleet.occupancy.add("i-0", online=2)
     telling.fleet.changed()
-    telling.news.beat = lambda: None
+    telling.news.send_heartbeat = lambda: None
     hearing = await world.add_instance(zone="b")
     own = telling.settings.instance
     await until(lambda: hearing.fleet.occupancy.of(own, "i-0").online == 2)
@@ -87,7 +90,7 @@
     telling = await world.add_instance(zone="a")
     hearing = await world.add_instance(zone="b")
     await world.ready()
-    telling.news.beat = lambda: None
+    telling.news.send_heartbeat = lambda: None
     telling.fleet.occupancy.add("i-0", online=2)
     telling.fleet.occupancy.take_changed()
     for stream in list(hearing.mesh._streams):
@@ -126,7 +129,7 @@
     await world.ready()
     own = leaving.settings.instance
     leaving.news.leaving = True
-    leaving.news.beat()
+    leaving.news.send_heartbeat()
     await until(lambda: far.mesh.members_by_id[own].leaving, BEAT_S)
 
 
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -11,7 +11,7 @@
     TableAsk,
     TableWhole,
 )
-from caperridge.gateway.news import ASK_AGAIN_S, PEER_PATIENCE_S
+from caperridge.gateway.news import PEER_COPY_DELAY_S, REQUEST_RETRY_DELAY_S
 from caperridge.gateway.process import INDEX_SPACING_S, GatewayInstance
 from gateway.conftest import World, until
 from loop_clock import LoopClock
@@ -50,7 +50,7 @@
     copy = instance.news.copy_of(TABLE)
     copy.read_version = copy.version + 10
     instance.news._heartbeat(PEERS[0], beat(copy.version + 5))
-    await asyncio.sleep(PEER_PATIENCE_S * 3)
+    await asyncio.sleep(PEER_COPY_DELAY_S * 3)
     assert asks == []
 
 
@@ -64,7 +64,7 @@
         instance.news._heartbeat(peer, beat(newer))
     await until(lambda: asks)
     assert len(asks) == 1
-    await asyncio.sleep(ASK_AGAIN_S * 2.5)
+    await asyncio.sleep(REQUEST_RETRY_DELAY_S * 2.5)
     assert 2 <= len(asks) <= 4  # the first did not answer
     rows = [
         ["", row.key.key, row.value, row.version]
@@ -72,7 +72,7 @@
     ]
     instance.news._table_whole(asks[-1], TableWhole(TABLE, newer, rows))
     asked = len(asks)
-    await asyncio.sleep(ASK_AGAIN_S * 2.5)
+    await asyncio.sleep(REQUEST_RETRY_DELAY_S * 2.5)
     assert len(asks) == asked
 
 
@@ -108,7 +108,7 @@
 ) -> None:
     asks = Asks()
     instance.mesh.send = asks.note
-    instance.reach.failed("it is away")
+    instance.reach.record_failure("it is away")
     index = instance.index.copy
     newer = Heartbeat([], {index.table: index.read_version + 100})
     instance.news._heartbeat(PEERS[0], newer)
@@ -138,9 +138,9 @@
     monkeypatch.setattr(instance.mesh, "send_all", sent.append)
     monkeypatch.setattr(instance.mesh, "send_near", sent.append)
     instance.news._told_state = ()
-    instance.news.beat()
+    instance.news.send_heartbeat()
     monkeypatch.setattr(type(instance.mesh), "large", True)
     instance.news._told_state = ()
-    instance.news.beat()
+    instance.news.send_heartbeat()
     assert [bool(beat.lengths) for beat in sent] == [True, False]
     assert instance.news._first_word().lengths
--- a/tests/gateway/test_replaced_targets.py
+++ b/tests/gateway/test_replaced_targets.py
@@ -10,7 +10,7 @@
 
 import asyncio
 
-from caperridge.gateway.unowned import NOBODY
+from caperridge.gateway.unowned import ORPHANED
 from gateway.conftest import World, until
 from gateway.test_jobs import ITEMS, listed
 
@@ -69,10 +69,10 @@
     instance = await world.add_instance()
     await world.ready()
     of_nobody = instance.fleet.occupancy.of
-    await until(lambda: of_nobody(NOBODY, "i-0").total == 2)
+    await until(lambda: of_nobody(ORPHANED, "i-0").total == 2)
     runner.id = "i-0-again"
     usable = instance.fleet.is_usable
     now = asyncio.get_running_loop().time
     await until(lambda: not usable("i-0", now()))
-    await until(lambda: of_nobody(NOBODY, "i-0").total == 0)
+    await until(lambda: of_nobody(ORPHANED, "i-0").total == 0)
     assert runner.runs == []
--- a/tests/gateway/test_silent_connections.py
+++ b/tests/gateway/test_silent_connections.py
@@ -12,7 +12,7 @@
 from caperridge.gateway.mesh.messages import Heartbeat
 from caperridge.gateway.process import INDEX_SPACING_S, TICK_S
 from caperridge.gateway.silent_sockets import PROBE_AFTER_S
-from caperridge.gateway.watcher import FIRST_PAUSE_S, WATCH_S
+from caperridge.gateway.watcher import LONG_POLL_S, MIN_RETRY_DELAY_S
 from caperridge.platform.connections import UNACKNOWLEDGED_MS
 from caperridge.platform.store import CALL_S, WATCH_SLACK_S, HttpRowStore
 from gateway.conftest import ROUTES, World, free_address, until
@@ -88,22 +88,22 @@
     store: HttpRowStore, store_way: SilentRelay
 ) -> None:
     """It is asked again, and answered at once, though it began later."""
-    first = asyncio.ensure_future(store.changes("op", 1, WATCH_S))
-    await asyncio.sleep(WATCH_S / 4)
-    second = asyncio.ensure_future(store.changes("op", 1, WATCH_S))
+    first = asyncio.ensure_future(store.changes("op", 1, LONG_POLL_S))
+    await asyncio.sleep(LONG_POLL_S / 4)
+    second = asyncio.ensure_future(store.changes("op", 1, LONG_POLL_S))
     await until(lambda: store_way.opened == 2)
     store_way.silence()
     assert not isinstance(await first, Ok)
-    async with asyncio.timeout(WATCH_S / 8):
+    async with asyncio.timeout(LONG_POLL_S / 8):
         assert isinstance(await second, Ok)
 
 
 async def test_a_watch_that_is_asked_again_bears_with_a_slow_store(
     world: World, store: HttpRowStore, store_way: SilentRelay
 ) -> None:
-    first = asyncio.ensure_future(store.changes("op", 1, WATCH_S))
-    await asyncio.sleep(WATCH_S / 4)
-    second = asyncio.ensure_future(store.changes("op", 1, WATCH_S))
+    first = asyncio.ensure_future(store.changes("op", 1, LONG_POLL_S))
+    await asyncio.sleep(LONG_POLL_S / 4)
+    second = asyncio.ensure_future(store.changes("op", 1, LONG_POLL_S))
     await until(lambda: store_way.opened == 2)
     store_way.silence()
     world.store.delay_s = (WATCH_SLACK_S + CALL_S) / 2
@@ -114,7 +114,7 @@
 async def test_a_watch_that_is_given_up_leaves_nothing_behind(
     store: HttpRowStore, store_way: SilentRelay
 ) -> None:
-    watch = asyncio.ensure_future(store.changes("op", 1, WATCH_S))
+    watch = asyncio.ensure_future(store.changes("op", 1, LONG_POLL_S))
     await until(lambda: store_way.opened == 1)
     before = len(asyncio.all_tasks())
     watch.cancel()
@@ -131,10 +131,10 @@
     instance = await world.add_instance()
     await world.ready()
     returns: list[float] = []
-    instance.reach.on_return(returns.append)
+    instance.reach.on_recovered(returns.append)
     store_way.silence()
     # Whatever was asked before the silence has had its time by then.
-    await asyncio.sleep(WATCH_S + WATCH_SLACK_S + INDEX_SPACING_S + SLACK_S)
+    await asyncio.sleep(LONG_POLL_S + WATCH_SLACK_S + INDEX_SPACING_S + SLACK_S)
     assert len(returns) <= 1
     assert instance.reach.reached
     version = 2
@@ -166,7 +166,7 @@
     instance = await world.add_instance()
     await world.ready()
     returns: list[float] = []
-    instance.reach.on_return(returns.append)
+    instance.reach.on_recovered(returns.append)
     watches = len(world.store.waits_ms)
     store_way.reset()
     await until(lambda: returns)
@@ -174,7 +174,7 @@
     # The watch that told it asked for an answer at once, and the pause before it is
     # short; real time would also count what else the machine does.
     assert world.store.waits_ms[watches] == 0
-    assert FIRST_PAUSE_S < SLACK_S
+    assert MIN_RETRY_DELAY_S < SLACK_S
 
 
 class MeshPair:
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -75,7 +75,7 @@
         assert target is not None
         await until(
             lambda one=other: one.fleet.targets.named("i-0").draining,
-            watching.WATCH_S / 2,
+            watching.LONG_POLL_S / 2,
         )
 
 
@@ -129,7 +129,7 @@
     made = watching.TableWatcher(
         None,
         watching.TableCopy("t"),
-        watching.StoreReach(),
+        watching.StoreReachability(),
         lambda rows, source: taken.append(rows),
         reads=lambda table: False,
     )
@@ -141,7 +141,7 @@
     copy_watcher: watching.TableWatcher,
 ) -> None:
     """Who took them for all there is would serve with a part of the targets."""
-    copy_watcher.take_changes_from_peer([_row(5, b"x")], 0, 5, "peer")
+    copy_watcher.apply_changes_from_peer([_row(5, b"x")], 0, 5, "peer")
     assert not copy_watcher.copy.known
     assert copy_watcher.taken == []
 
@@ -150,10 +150,10 @@
     copy_watcher: watching.TableWatcher,
 ) -> None:
     copy_watcher.copy.take_whole([], 3)
-    copy_watcher.take_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
+    copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
     assert copy_watcher.copy.read_version == 5
     assert not copy_watcher._wake.is_set()
-    copy_watcher.take_changes_from_peer([_row(9, b"z")], 7, 9, "peer")
+    copy_watcher.apply_changes_from_peer([_row(9, b"z")], 7, 9, "peer")
     assert copy_watcher.copy.read_version == 5
     assert copy_watcher._wake.is_set()
 
@@ -163,8 +163,8 @@
 ) -> None:
     copy_watcher.copy.take_whole([], 3)
     for _ in range(2):
-        copy_watcher.take_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
-        copy_watcher.take_changes_from_peer([_row(6, b"", True)], 5, 6, "peer")
+        copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
+        copy_watcher.apply_changes_from_peer([_row(6, b"", True)], 5, 6, "peer")
     assert copy_watcher.copy.rows_by_key == {}
     assert [[row.version for row in rows] for rows in copy_watcher.taken] == [[5], [6]]
 
@@ -210,7 +210,7 @@
     copy_watcher: watching.TableWatcher,
 ) -> None:
     copy_watcher.copy.take_whole([], 3)
-    copy_watcher.take_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
+    copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
     passed = await _read_pages(copy_watcher, [_row(5, b"x")], [_row(6, b"y")])
     assert passed == [(1, 5, 6)]
 
@@ -285,7 +285,7 @@
         watching.TableWatcher(
             store,
             watching.TableCopy("t"),
-            watching.StoreReach(),
+            watching.StoreReachability(),
             lambda rows, source: None,
         )
         for _ in range(4)
@@ -295,7 +295,7 @@
         def publish(rows: list[StoredRow], since: int, version: int) -> None:
             for hearer in watchers:
                 if hearer is not speaker and chance.random() < 0.8:
-                    hearer.take_changes_from_peer(rows, since, version, "peer")
+                    hearer.apply_changes_from_peer(rows, since, version, "peer")
 
         return publish
 
@@ -312,7 +312,9 @@
             asked.add(asyncio.ensure_future(chance.choice(watchers[:2])._watch(1.0)))
         if chance.random() < 0.05:
             whole = list(store.rows_by_key.values())
-            chance.choice(watchers).take_from_peer(whole, store.version, "peer")
+            chance.choice(watchers).apply_snapshot_from_peer(
+                whole, store.version, "peer"
+            )
         if chance.random() < 0.05:
             whole = list(store.rows_by_key.values())
             chance.choice(watchers).copy.take_whole(whole, store.version)
@@ -335,7 +337,7 @@
     peer = await world.add_instance(zone=zone)
     await world.ready()
     id = peer.settings.instance
-    peer.news.beat = lambda: None
+    peer.news.send_heartbeat = lambda: None
     await asyncio.sleep(BEAT_S)
     instance.news._heartbeat(id, Heartbeat([], {}, store_reached=True))
     looked: list[None] = []
