--- a/src/caperridge/gateway/clock.py
+++ b/src/caperridge/gateway/clock.py
@@ -9,7 +9,7 @@
     def __init__(self) -> None:
         self._offset: float | None = None
 
-    def told(self, now_s: float) -> None:
+    def update(self, now_s: float) -> None:
         """Take the store's time from an answer that just came."""
         self._offset = now_s - elapsed_s()
 
--- a/src/caperridge/gateway/held_rows.py
+++ b/src/caperridge/gateway/held_rows.py
@@ -160,14 +160,14 @@
         if not isinstance(answer, Err):
             value = transaction.writes.get(key)
             row = StoredRow(key, value or b"", answer.ok_value.version, value is None)
-            self.copy.take_row(row)
+            self.copy.apply_row(row)
             return True
         if isinstance(answer.err_value, Refused):
             now = answer.err_value.row(key)
             # Gone if it is not there; the copy may not know yet.
             if now is None:
                 self.copy.rows_by_key.pop(key, None)
-            elif self.copy.take_row(now):
+            elif self.copy.apply_row(now):
                 self.apply_rows([now], "store")
         return False
 
--- a/src/caperridge/gateway/jobs/acceptance.py
+++ b/src/caperridge/gateway/jobs/acceptance.py
@@ -25,7 +25,7 @@
     StoredRow,
     Transaction,
     TransactionError,
-    read_whole,
+    read_all_rows,
 )
 from caperridge.log import logger
 from caperridge.records import Record
@@ -205,11 +205,11 @@
         The gate comes with the first page, so the pages after it have all jobs that
         were accepted before the gate became what it is there.
         """
-        answer = await read_whole(self._store, INDEX)
+        answer = await read_all_rows(self._store, INDEX)
         if isinstance(answer, Err):
             return
         page: RowsRead = answer.ok_value
-        news = self._index.copy.take_whole(page.rows, page.version)
+        news = self._index.copy.apply_snapshot(page.rows, page.version)
         self._index.take(news)
 
     async def _pause(self, pause_s: float, deadline: float) -> bool:
--- a/src/caperridge/gateway/jobs/claims.py
+++ b/src/caperridge/gateway/jobs/claims.py
@@ -36,7 +36,7 @@
     RowStore,
     StoredRow,
     Transaction,
-    read_whole,
+    read_all_rows,
 )
 from caperridge.log import logger
 from caperridge.records import Record
@@ -110,7 +110,7 @@
         """
         rows: list[StoredRow] = []
         if items is None:
-            answer = await read_whole(self._store, JOBS, entry.id)
+            answer = await read_all_rows(self._store, JOBS, entry.id)
             if isinstance(answer, Err):
                 return Unclaimed("its rows cannot be read")
             rows = answer.ok_value.rows
--- a/src/caperridge/gateway/jobs/index.py
+++ b/src/caperridge/gateway/jobs/index.py
@@ -49,7 +49,7 @@
 
     def take_row(self, row: StoredRow) -> None:
         """Take one row that was just written or read."""
-        if self.copy.take_row(row):
+        if self.copy.apply_row(row):
             self.take([row])
 
     def version_of(self, job: str) -> int:
--- a/src/caperridge/gateway/jobs/keeper.py
+++ b/src/caperridge/gateway/jobs/keeper.py
@@ -178,7 +178,7 @@
 
     def _claim_orphans(self, now: float) -> None:
         """Claim open jobs whose holder is gone and which fall to this instance."""
-        if self.leaving or not self._index.copy.known:
+        if self.leaving or not self._index.copy.loaded:
             return
         if not self._reaches_the_store():
             # It is cut off, and would take the jobs of all whom it does not hear; it
--- a/src/caperridge/gateway/mesh/dialers.py
+++ b/src/caperridge/gateway/mesh/dialers.py
@@ -24,7 +24,7 @@
 # A contact that cannot be reached is replaced for so long.
 AVOID_CONTACT_S = 2.0
 # How long a stream leads to an instance that knows nobody yet.
-GUEST_S = 3.0
+TEMPORARY_STREAM_S = 3.0
 
 
 class Dialers:
@@ -94,8 +94,8 @@
     def greet(self, address: str) -> None:
         """Lead a stream for a while to an instance that knows few members."""
         now = asyncio.get_running_loop().time()
-        self._guests_until_by_address[address] = now + GUEST_S
-        self._due_at = min(self._due_at, now + GUEST_S)
+        self._guests_until_by_address[address] = now + TEMPORARY_STREAM_S
+        self._due_at = min(self._due_at, now + TEMPORARY_STREAM_S)
         self._dial(address)
 
     def is_guest(self, address: str) -> bool:
--- a/src/caperridge/gateway/mesh/member.py
+++ b/src/caperridge/gateway/mesh/member.py
@@ -10,7 +10,7 @@
         zone: its availability zone; empty if not known.
         incarnation: of its life as last heard; empty if never.
         previous_incarnation: that was heard before the present one.
-        last_received_at: when its last message came; -inf if none did or its stream ended.
+        last_received_at: when its last message came; -inf if there was none.
         lost_at: when it was first found to be silent; None while it is heard.
         reported_lost_at: when its zone last reported it as lost.
         leaving: it said that it takes no new work.
--- a/src/caperridge/gateway/mesh/mesh.py
+++ b/src/caperridge/gateway/mesh/mesh.py
@@ -20,12 +20,12 @@
 # A near peer that is told nothing else hears every 0.6 s that this one lives, so it
 # hears something at least every 0.7 s; two in a row are lost only when something is
 # wrong.
-SILENCE_S = 1.5
+SILENCE_TIMEOUT_S = 1.5
 # Who was told something so lately needs no sign of life.
 RECENT_S = 0.1
 # Far peers are heard through contacts: each passes on with its own beat what it heard,
 # and two of them are told in turn. Two in a row are lost within 2.4 s.
-FAR_SILENCE_S = 3.0
+FAR_SILENCE_TIMEOUT_S = 3.0
 # How many near peers pass news on when there are too many to tell each: about three
 # hear it from each instance that had it from the store.
 GOSSIP_FANOUT = 5
@@ -169,9 +169,9 @@
         for member in list(self.members_by_id.values()):
             silence_s = now - member.last_received_at
             if member.lost_at is None:
-                if silence_s <= SILENCE_S:
+                if silence_s <= SILENCE_TIMEOUT_S:
                     continue
-                if silence_s <= FAR_SILENCE_S and not self.is_near(member):
+                if silence_s <= FAR_SILENCE_TIMEOUT_S and not self.is_near(member):
                     continue
                 self.mark_lost(member, "it is silent")
             self._dialers.renew(member)
--- a/src/caperridge/gateway/mesh/paced_reading.py
+++ b/src/caperridge/gateway/mesh/paced_reading.py
@@ -14,7 +14,7 @@
 # as in a zone of 21 instances, then need a quarter of the turns. A slot is asked for,
 # granted and used by three messages, within the 80 ms that a grant holds; and whoever
 # places a request reads first.
-PACE_S = 0.02
+READ_INTERVAL_S = 0.02
 READ_BYTES = 256 * 2**10
 # Messages of 20 ms have some kilobytes together; a read of this size is a part of a
 # message so large that waiting between its parts would add up.
@@ -77,9 +77,9 @@
         """Read what came after a rest; leave what comes next if the rest was short."""
         rested_s = self._loop.time() - self.read_at
         self._read()
-        if rested_s < PACE_S and not self._large:
+        if rested_s < READ_INTERVAL_S and not self._large:
             self._loop.remove_reader(self._poll.fileno())
-            self._timer = self._loop.call_later(PACE_S, self._read_again)
+            self._timer = self._loop.call_later(READ_INTERVAL_S, self._read_again)
 
     def _read_again(self) -> None:
         """Read what came meanwhile; have the loop watch again if that was nothing.
@@ -91,7 +91,7 @@
             came = self._read()
         finally:  # whatever fails here, peers are heard again
             if came and not self._large:
-                self._timer = self._loop.call_later(PACE_S, self._read_again)
+                self._timer = self._loop.call_later(READ_INTERVAL_S, self._read_again)
             else:
                 self._timer = None
                 self._loop.add_reader(self._poll.fileno(), self._readable)
--- a/src/caperridge/gateway/mesh/streams.py
+++ b/src/caperridge/gateway/mesh/streams.py
@@ -12,7 +12,7 @@
 
 from caperridge.gateway.mesh.messages import KINDS_BY_NAME
 from caperridge.gateway.mesh.paced_reading import PacedReader
-from caperridge.gateway.silent_sockets import end_when_silent
+from caperridge.gateway.silent_sockets import set_user_timeout
 from caperridge.log import logger
 from caperridge.peers.framing import FrameError, FrameSplitter, MessageError, frame
 from caperridge.records import Record, pack, unpack
@@ -23,12 +23,12 @@
 # What a peer's system did not acknowledge for so long went into a silent connection.
 # Near peers hear something every 0.7 s and are lost after 1.5 s; a stream that fell
 # silent is replaced before. Systems acknowledge at once, also for slow processes.
-UNACKNOWLEDGED_MS = 600
+USER_TIMEOUT_MS = 600
 # What may wait for a peer that does not read, before another message is taken; one may
 # be as large as an object of the store. Beyond, messages are dropped; a peer that lags
 # so far hears the whole state from the next heartbeat it reads. Sixty peers of a zone
 # that is cut off hold 15 MB of a process then.
-MOST_WAITING_BYTES = 256 * 2**10
+MAX_PENDING_BYTES = 256 * 2**10
 
 
 def encode(message: Record) -> bytes:
@@ -94,7 +94,7 @@
         transport = self._transport
         if not self.connected or transport is None:
             return False
-        if transport.get_write_buffer_size() > MOST_WAITING_BYTES:
+        if transport.get_write_buffer_size() > MAX_PENDING_BYTES:
             self.dropped += 1
             return False
         transport.write(data)
@@ -122,7 +122,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See :class:`asyncio.Protocol`."""
         assert isinstance(transport, asyncio.Transport)
-        end_when_silent(transport.get_extra_info("socket"), UNACKNOWLEDGED_MS)
+        set_user_timeout(transport.get_extra_info("socket"), USER_TIMEOUT_MS)
         self._transport = transport
         self.connected = True
         self.opened_at = asyncio.get_running_loop().time()
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -343,7 +343,7 @@
 
     def _table_ask(self, peer: str, ask: TableAsk) -> None:
         watcher = self._watchers_by_table.get(ask.table)
-        if watcher is None or not watcher.copy.known:
+        if watcher is None or not watcher.copy.loaded:
             return
         rows = [
             [key.part, key.key, row.value, row.version]
--- a/src/caperridge/gateway/observed_store.py
+++ b/src/caperridge/gateway/observed_store.py
@@ -90,5 +90,5 @@
     def _told(self, answer: Result[T, E]) -> Result[T, E]:
         now_s = getattr(answer.ok_value, "now_s", 0.0) if answer.is_ok() else 0.0
         if now_s:
-            self._clock.told(now_s)
+            self._clock.update(now_s)
         return answer
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -46,7 +46,7 @@
 from caperridge.gateway.observed_store import ObservedStore
 from caperridge.gateway.registry import InstanceRegistry
 from caperridge.gateway.relayed_store import RelayedStore
-from caperridge.gateway.repeating_store import RepeatingStore
+from caperridge.gateway.repeating_store import HedgingStore
 from caperridge.gateway.request_guard import RequestGuard
 from caperridge.gateway.rows import RowStore, StoredRow
 from caperridge.gateway.settings import Settings
@@ -112,7 +112,7 @@
         relayed = RelayedStore(store, self.mesh, self.reach, chance)
         store = ObservedStore(relayed, self.clock, self.metrics)
         self._store = store
-        repeating = RepeatingStore(store)
+        repeating = HedgingStore(store)
         self.client = TargetClient(dialect)
         quarantine = Quarantine()
         held_rows = QuarantineTable(repeating, self.clock, self.reach, quarantine)
@@ -198,20 +198,20 @@
         targets = TableCopy(dialect.targets_table)
         held = self.guard.rows.copy
         return [
-            watcher(configuration, self._rows.configuration, 0.0),
-            watcher(targets, self._rows.targets, 0.0),
-            watcher(self.index.copy, self._rows.index, INDEX_SPACING_S),
+            watcher(configuration, self._rows.apply_configuration, 0.0),
+            watcher(targets, self._rows.apply_targets, 0.0),
+            watcher(self.index.copy, self._rows.apply_index, INDEX_SPACING_S),
             watcher(held, self._held_requests, HELD_SPACING_S),
         ]
 
     def _held_requests(self, rows: list[StoredRow], source: str) -> None:
         self.guard.take_rows(rows, source)
-        self._rows.taken(self.guard.rows.copy.table)
+        self._rows.on_applied(self.guard.rows.copy.table)
 
     def _wire(self) -> None:
-        self._rows.taken = self.news.table_changed
-        self._rows.gone = self._target_ends.gone
-        self._rows.over = self._target_ends.over
+        self._rows.on_applied = self.news.table_changed
+        self._rows.on_target_removed = self._target_ends.gone
+        self._rows.on_target_replaced = self._target_ends.over
         self.edge.hear_peers = self.mesh.receive_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
         self.news.on_item_started = self.granting.used
@@ -290,7 +290,7 @@
         """Leave without cutting anything; return how many requests were cut."""
         log.info("instance stops", running=self.edge.running)
         self.news.leaving = True
-        steps = [self._tell_peers, self.keeper.hand_over, self.registry.leave]
+        steps = [self._tell_peers, self.keeper.hand_over, self.registry.deregister]
         return await PlannedStop(self.edge, self._door, steps).run(grace_s)
 
     async def _tell_peers(self) -> None:
--- a/src/caperridge/gateway/registry.py
+++ b/src/caperridge/gateway/registry.py
@@ -6,19 +6,20 @@
 from result import Err
 
 from caperridge.gateway.mesh.mesh import Mesh
-from caperridge.gateway.rows import RowKey, RowStore, Transaction, read_whole
+from caperridge.gateway.rows import RowKey, RowStore, Transaction, read_all_rows
 from caperridge.log import logger
 from caperridge.records import pack, unpack
 
 log = logger(__name__)
 
 TABLE = "instances"
-LOOK_S = 3.0
-# Members learn of each other from peers; the list is for those who know nobody. Up to
-# so many members each reads it every ``LOOK_S``; beyond, the rate of all is constant.
+POLL_INTERVAL_S = 3.0
+# Members learn of each other from peers; the list serves those that know no peer. Up to
+# this many members, each polls every ``POLL_INTERVAL_S``; with more, the total rate of
+# polls is constant.
 FULL_RATE_MEMBERS = 16
-FIRST_LOOK_S = 0.5
-LEAVE_S = 0.3
+FIRST_POLL_DELAY_S = 0.5
+DEREGISTER_TIMEOUT_S = 0.3
 
 
 class InstanceRegistry:
@@ -36,36 +37,36 @@
 
     async def run(self) -> None:
         """List and look until cancelled."""
-        pause_s = FIRST_LOOK_S
+        pause_s = FIRST_POLL_DELAY_S
         while True:
             if not self._listed:
-                await self._enter()
-            if await self._look() and self._listed:
+                await self._register()
+            if await self._read_members() and self._listed:
                 crowd = len(self._mesh.members_by_id) / FULL_RATE_MEMBERS
-                pause_s = LOOK_S * max(1.0, crowd)
+                pause_s = POLL_INTERVAL_S * max(1.0, crowd)
             await asyncio.sleep(pause_s)
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Take the own entry away, if the store answers soon."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LEAVE_S):
+            async with asyncio.timeout(DEREGISTER_TIMEOUT_S):
                 await self._store.transact(Transaction({}, {}, [self._key()]))
 
     def _key(self) -> RowKey:
         return RowKey(TABLE, "", self._mesh.instance)
 
-    async def _enter(self) -> None:
+    async def _register(self) -> None:
         value = pack([self._mesh.address, self._mesh.zone, self._mesh.incarnation])
         answer = await self._store.transact(Transaction({}, {self._key(): value}))
         self._listed = not isinstance(answer, Err)
 
-    async def _look(self) -> bool:
-        answer = await read_whole(self._store, TABLE)
+    async def _read_members(self) -> bool:
+        answer = await read_all_rows(self._store, TABLE)
         if isinstance(answer, Err):
             return False
         for row in answer.ok_value.rows:
             try:
-                address, zone = _place(row.value)
+                address, zone = _decode_location(row.value)
             except (ValueError, TypeError) as error:
                 log.error("instance skipped", key=row.key.key, reason=str(error))
                 continue
@@ -73,7 +74,7 @@
         return True
 
 
-def _place(value: bytes) -> tuple[str, str]:
+def _decode_location(value: bytes) -> tuple[str, str]:
     """Return where an instance is, address and availability zone.
 
     Raises:
--- a/src/caperridge/gateway/repeating_store.py
+++ b/src/caperridge/gateway/repeating_store.py
@@ -32,15 +32,15 @@
 
 # An answer is overdue after so many times what answers took lately. The store takes
 # calls of one part in turn, so that some wait for a few others.
-OVERDUE_TIMES = 4.0
+HEDGE_DELAY_RATIO = 4.0
 # Not sooner, however fast the store is: a pause of this process must not look like it.
-LEAST_PATIENCE_S = 0.08
+MIN_HEDGE_DELAY_S = 0.08
 # A store that is slow answers in the end; more calls would make it slower.
-MOST_CALLS = 3
-NEWEST_SHARE = 0.3
+MAX_CALLS = 3
+SMOOTHING_RATIO = 0.3
 
 
-class RepeatingStore(RowStore):
+class HedgingStore(RowStore):
     """Makes transactions and writes of objects again when they are overdue.
 
     Only for callers to whom it is the same whether the first or a later call took
@@ -93,19 +93,19 @@
         """See :meth:`RowStore.drop_object`."""
         return await self._store.drop_object(name)
 
-    def patience_s(self, name: str) -> float:
+    def hedge_delay_s(self, name: str) -> float:
         """Return after how long an answer to a call is overdue."""
         usual_s = self._usual_s_by_call.get(name, 0.0)
-        return max(LEAST_PATIENCE_S, OVERDUE_TIMES * usual_s)
+        return max(MIN_HEDGE_DELAY_S, HEDGE_DELAY_RATIO * usual_s)
 
     async def _repeated(
         self, name: str, call: Callable[[], Awaitable[Result[T, E]]]
     ) -> Result[T, E]:
         calls: set[asyncio.Task[Result[T, E]]] = set()
         try:
-            while len(calls) < MOST_CALLS:
+            while len(calls) < MAX_CALLS:
                 calls.add(asyncio.ensure_future(self._timed(name, call)))
-                answer = await _first_certain(calls, self.patience_s(name))
+                answer = await _first_certain(calls, self.hedge_delay_s(name))
                 if answer is not None:
                     return answer
                 log.info("store overdue", call=name, calls=len(calls))
@@ -125,7 +125,7 @@
         if not isinstance(answer, Err) or isinstance(answer.err_value, Refused):
             took_s = loop.time() - began
             usual_s = self._usual_s_by_call.get(name, took_s)
-            self._usual_s_by_call[name] = usual_s + NEWEST_SHARE * (took_s - usual_s)
+            self._usual_s_by_call[name] = usual_s + SMOOTHING_RATIO * (took_s - usual_s)
         return answer
 
 
--- a/src/caperridge/gateway/rows.py
+++ b/src/caperridge/gateway/rows.py
@@ -166,7 +166,7 @@
         """Remove the object if it is there."""
 
 
-async def read_whole(
+async def read_all_rows(
     store: RowStore, table: str, part: str = ""
 ) -> Result[RowsRead, StoreError]:
     """Read all rows of a table's part, page by page.
--- a/src/caperridge/gateway/silent_sockets.py
+++ b/src/caperridge/gateway/silent_sockets.py
@@ -7,10 +7,10 @@
 import socket
 
 # The least that the system can be asked for.
-PROBE_AFTER_S = 1
+KEEPALIVE_INTERVAL_S = 1
 
 
-def end_when_silent(connection: socket.socket, unacknowledged_ms: int) -> None:
+def set_user_timeout(connection: socket.socket, unacknowledged_ms: int) -> None:
     """End ``connection`` when what was sent is not acknowledged for so long."""
     if hasattr(socket, "TCP_USER_TIMEOUT"):
         connection.setsockopt(
@@ -18,15 +18,15 @@
         )
 
 
-def probe_when_idle(connection: socket.socket) -> None:
+def enable_keepalive(connection: socket.socket) -> None:
     """Have the system ask after an idle ``connection``, each second.
 
-    With :func:`end_when_silent` it ends when there is no answer; one that waits for an
+    With :func:`set_user_timeout` it ends when there is no answer; one that waits for an
     answer, or is kept for the next call, does not find out by itself.
     """
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for name in ("TCP_KEEPIDLE", "TCP_KEEPINTVL"):
         if hasattr(socket, name):
             connection.setsockopt(
-                socket.IPPROTO_TCP, getattr(socket, name), PROBE_AFTER_S
+                socket.IPPROTO_TCP, getattr(socket, name), KEEPALIVE_INTERVAL_S
             )
--- a/src/caperridge/gateway/table_copy.py
+++ b/src/caperridge/gateway/table_copy.py
@@ -10,7 +10,7 @@
 
 # Removed rows whose versions are remembered, some 150 bytes each. A copy that still has
 # an older one is some seconds old; in that time a few hundred rows are removed at most.
-MOST_REMOVED = 5000
+MAX_TOMBSTONES = 5000
 
 
 class TableCopy:
@@ -29,14 +29,16 @@
         self.read_version = -1
         self.settled_version = 0
         self.rows_by_key: dict[RowKey, StoredRow] = {}
-        self._removed_versions_by_key: dict[RowKey, int] = {}
+        self._tombstone_versions_by_key: dict[RowKey, int] = {}
 
     @property
-    def known(self) -> bool:
+    def loaded(self) -> bool:
         """Whether a whole copy was ever had."""
         return self.read_version >= 0
 
-    def take_whole(self, rows: Iterable[StoredRow], version: int) -> list[StoredRow]:
+    def apply_snapshot(
+        self, rows: Iterable[StoredRow], version: int
+    ) -> list[StoredRow]:
         """Take a whole read as of ``version``; return what it changed.
 
         One that is older than the copy may still list rows that were written since, but
@@ -44,7 +46,7 @@
         stay, whatever it says.
         """
         if version < self.read_version:
-            return [row for row in rows if self.take_row(row)]
+            return [row for row in rows if self.apply_row(row)]
         listed = {row.key: row for row in rows}
         changed = [row for row in listed.values() if self._put(row)]
         for key, row in list(self.rows_by_key.items()):
@@ -57,18 +59,18 @@
         self.settled_version = max(self.settled_version, version)
         return changed
 
-    def take_changes(
+    def apply_changes(
         self, rows: Sequence[StoredRow], since: int, version: int
     ) -> list[StoredRow]:
         """Take all changes after ``since`` up to ``version``; return those of news."""
-        changed = [row for row in rows if self.take_row(row)]
+        changed = [row for row in rows if self.apply_row(row)]
         if since <= self.read_version:
             self.read_version = max(self.read_version, version)
             newest = max((row.version for row in rows), default=0)
             self.settled_version = max(self.settled_version, newest)
         return changed
 
-    def take_row(self, row: StoredRow) -> bool:
+    def apply_row(self, row: StoredRow) -> bool:
         """Take one row that was written or seen apart; return whether it was news.
 
         A row that is not known though the copy reaches beyond its version was removed.
@@ -77,23 +79,25 @@
             return False
         return self._put(row)
 
-    def part(self, part: str) -> list[StoredRow]:
+    def rows_in_part(self, part: str) -> list[StoredRow]:
         """Return the rows of ``part``."""
         return [row for key, row in self.rows_by_key.items() if key.part == part]
 
     def _put(self, row: StoredRow) -> bool:
         before = self.rows_by_key.get(row.key)
-        known = before.version if before else self._removed_versions_by_key.get(row.key)
+        known = (
+            before.version if before else self._tombstone_versions_by_key.get(row.key)
+        )
         if known is not None and row.version <= known:
             return False
         self.version = max(self.version, row.version)
         if row.removed:
-            self._removed_versions_by_key.pop(row.key, None)
-            self._removed_versions_by_key[row.key] = row.version
-            if len(self._removed_versions_by_key) > MOST_REMOVED:
-                oldest = next(iter(self._removed_versions_by_key))
-                del self._removed_versions_by_key[oldest]
+            self._tombstone_versions_by_key.pop(row.key, None)
+            self._tombstone_versions_by_key[row.key] = row.version
+            if len(self._tombstone_versions_by_key) > MAX_TOMBSTONES:
+                oldest = next(iter(self._tombstone_versions_by_key))
+                del self._tombstone_versions_by_key[oldest]
             return self.rows_by_key.pop(row.key, None) is not None
-        self._removed_versions_by_key.pop(row.key, None)
+        self._tombstone_versions_by_key.pop(row.key, None)
         self.rows_by_key[row.key] = row
         return True
--- a/src/caperridge/gateway/table_rows.py
+++ b/src/caperridge/gateway/table_rows.py
@@ -24,9 +24,9 @@
     """Takes rows that were news; ``source`` is who told of them.
 
     Attributes:
-        taken: called with a table's name after rows of it were taken.
-        gone: called with a target that is listed no more.
-        over: called with a target of which a later life is listed.
+        on_applied: called with a table's name after rows of it were taken.
+        on_target_removed: called with a target that is listed no more.
+        on_target_replaced: called with a target of which a later life is listed.
 
     Args:
         dialect: decodes rows.
@@ -52,11 +52,11 @@
         self._client = client
         self._index = index
         self._metrics = metrics
-        self.taken: Callable[[str], None] = lambda table: None
-        self.gone: Callable[[Target], None] = lambda target: None
-        self.over: Callable[[Target], None] = lambda target: None
+        self.on_applied: Callable[[str], None] = lambda table: None
+        self.on_target_removed: Callable[[Target], None] = lambda target: None
+        self.on_target_replaced: Callable[[Target], None] = lambda target: None
 
-    def configuration(self, rows: list[StoredRow], source: str) -> None:
+    def apply_configuration(self, rows: list[StoredRow], source: str) -> None:
         """Put a later configuration in force."""
         for row in rows:
             if row.key.key != self._dialect.configuration_key or row.removed:
@@ -68,9 +68,9 @@
                 continue
             if self._configuration.offer(table, source):
                 self._metrics.configuration_version.set(table.version)
-        self.taken(self._dialect.configuration_table)
+        self.on_applied(self._dialect.configuration_table)
 
-    def targets(self, rows: list[StoredRow], source: str) -> None:
+    def apply_targets(self, rows: list[StoredRow], source: str) -> None:
         """List targets, and those no more that are gone."""
         now = asyncio.get_running_loop().time()
         for row in rows:
@@ -81,12 +81,12 @@
             target = self._fleet.targets.named(name)
             self._fleet.targets.remove(name, now)
             if target is not None and self._fleet.targets.named(name) is None:
-                self.gone(target)
+                self.on_target_removed(target)
             log.info("target gone", target=name, source=source, version=row.version)
         self._fleet.known = True
         self._fleet.forget_gone()
         self._fleet.changed()
-        self.taken(self._dialect.targets_table)
+        self.on_applied(self._dialect.targets_table)
 
     def _target(self, row: StoredRow, source: str) -> None:
         targets = self._fleet.targets
@@ -116,12 +116,12 @@
         if over is None:
             return
         ended = self._client.end_runs(over.id)
-        self.over(over)
+        self.on_target_replaced(over)
         log.info(
             "target started again", target=target.id, before=over.id, runs_ended=ended
         )
 
-    def index(self, rows: list[StoredRow], source: str) -> None:
+    def apply_index(self, rows: list[StoredRow], source: str) -> None:
         """Take entries of jobs."""
         self._index.take(rows)
-        self.taken(self._index.copy.table)
+        self.on_applied(self._index.copy.table)
--- a/src/caperridge/gateway/watcher.py
+++ b/src/caperridge/gateway/watcher.py
@@ -12,7 +12,7 @@
     RowsRead,
     RowStore,
     StoredRow,
-    read_whole,
+    read_all_rows,
 )
 from caperridge.gateway.table_copy import TableCopy
 from caperridge.log import logger
@@ -95,7 +95,7 @@
         copy: kept up to date.
         reach: told how the store does.
         changed: called with rows that were news and who told of them.
-        min_interval_s: least time between two watches; gathers changes that are no hurry.
+        min_interval_s: between two watches, to collect changes that are not urgent.
         reads: whether this instance watches a table all the time.
         chance: spreads looks at tables that others read.
     """
@@ -175,11 +175,11 @@
         self, rows: list[StoredRow], since: int, version: int, peer: str
     ) -> None:
         """Take changes that a peer read; look for what came before them if need be."""
-        if not self.copy.known:
+        if not self.copy.loaded:
             return  # what is not known yet is read whole
         if since > self.copy.read_version:
             self.poll_now()
-        news = self.copy.take_changes(rows, since, version)
+        news = self.copy.apply_changes(rows, since, version)
         if news:
             self._changed(news, peer)
 
@@ -187,18 +187,18 @@
         self, rows: list[StoredRow], version: int, peer: str
     ) -> None:
         """Take a whole copy that a peer has."""
-        news = self.copy.take_whole(rows, version)
+        news = self.copy.apply_snapshot(rows, version)
         if news:
             self._changed(news, peer)
 
     async def _read(self) -> Err | None:
-        answer = await read_whole(self._store, self.copy.table)
+        answer = await read_all_rows(self._store, self.copy.table)
         if isinstance(answer, Err):
             return answer
         page: RowsRead = answer.ok_value
         self._reach.record_success()
-        known = self.copy.known
-        news = self.copy.take_whole(page.rows, page.version)
+        known = self.copy.loaded
+        news = self.copy.apply_snapshot(page.rows, page.version)
         if news or not known:
             self._changed(news, "store")
         return None
@@ -211,7 +211,7 @@
         self._reach.record_success()
         page: RowsRead = answer.ok_value
         settled = self.copy.settled_version
-        news = self.copy.take_changes(page.rows, since, page.version)
+        news = self.copy.apply_changes(page.rows, since, page.version)
         if self.copy.settled_version > settled:
             # All that was read, also what is no news here: it may be elsewhere.
             self.publish(page.rows, settled, self.copy.settled_version)
--- a/src/caperridge/gateway/zones.py
+++ b/src/caperridge/gateway/zones.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from caperridge.gateway.mesh.member import Member
-from caperridge.gateway.mesh.mesh import SILENCE_S
+from caperridge.gateway.mesh.mesh import SILENCE_TIMEOUT_S
 
 # A near peer says something at least every 0.7 s.
 SUSPECT_AFTER_S = 0.8
@@ -47,5 +47,5 @@
     """Whether a member's stream ended, which a zone that is cut off does not cause."""
     return (
         member.lost_at is not None
-        and member.lost_at - member.last_received_at < SILENCE_S
+        and member.lost_at - member.last_received_at < SILENCE_TIMEOUT_S
     )
--- a/src/caperridge/platform/connections.py
+++ b/src/caperridge/platform/connections.py
@@ -11,7 +11,7 @@
 
 import aiohttp
 
-from caperridge.gateway.silent_sockets import end_when_silent, probe_when_idle
+from caperridge.gateway.silent_sockets import enable_keepalive, set_user_timeout
 from caperridge.no_repeat import loss_is_final
 
 # Instances with work call several times a second; an idle connection costs little.
@@ -84,6 +84,6 @@
 def _watched_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = address
     made = socket.socket(family, kind, protocol)
-    end_when_silent(made, UNACKNOWLEDGED_MS)
-    probe_when_idle(made)
+    set_user_timeout(made, UNACKNOWLEDGED_MS)
+    enable_keepalive(made)
     return made
--- a/tests/gateway/test_acceptance.py
+++ b/tests/gateway/test_acceptance.py
@@ -69,7 +69,7 @@
     store = HttpRowStore(world.store_address)
     await fill(store, JOBS)
     clock = StoreClock()
-    clock.told(1.0)
+    clock.update(1.0)
     index = JobIndex()
     acceptance = JobAcceptance(store, index, clock, random.Random(1))
     deadline = asyncio.get_running_loop().time() + 5.0
@@ -122,7 +122,7 @@
 ) -> None:
     store = MemoryRows(fates, pauses)
     clock = StoreClock()
-    clock.told(1.0)
+    clock.update(1.0)
     instances = [
         JobAcceptance(store, JobIndex(), clock, random.Random(1)) for _ in range(3)
     ]
--- a/tests/gateway/test_answers_in_a_stop.py
+++ b/tests/gateway/test_answers_in_a_stop.py
@@ -123,9 +123,9 @@
         reached.add(step)
         raise RuntimeError("broken")
 
-    monkeypatch.setattr(instance.news, "beat", lambda: fails("told"))
+    monkeypatch.setattr(instance.news, "send_heartbeat", lambda: fails("told"))
     monkeypatch.setattr(instance.keeper, "hand_over", lambda: fails("jobs"))
-    monkeypatch.setattr(instance.registry, "leave", lambda: fails("left"))
+    monkeypatch.setattr(instance.registry, "deregister", lambda: fails("left"))
     assert await instance.stop(8.0) == 0
     assert (await asking).whole
     assert reached == {"told", "jobs", "left"}
--- a/tests/gateway/test_contacts.py
+++ b/tests/gateway/test_contacts.py
@@ -7,7 +7,7 @@
 from caperridge.decisions.rendezvous import score
 from caperridge.gateway.mesh import mesh
 from caperridge.gateway.mesh.contacts import CONTACTS_PER_ZONE, choose_contacts
-from caperridge.gateway.mesh.dialers import GUEST_S
+from caperridge.gateway.mesh.dialers import TEMPORARY_STREAM_S
 from caperridge.gateway.mesh.member import Member
 from caperridge.gateway.mesh.messages import (
     Counts,
@@ -111,7 +111,9 @@
     instances = [await world.add_instance(zone=zone) for zone in "aabbbbcccc"]
     await world.ready()
     near, contacts = 1, 2 * CONTACTS_PER_ZONE
-    await until(lambda: _streams(instances[0]) == near + contacts, GUEST_S + 3.0)
+    await until(
+        lambda: _streams(instances[0]) == near + contacts, TEMPORARY_STREAM_S + 3.0
+    )
 
 
 async def test_all_hear_of_each_other_and_all_news_through_contacts(
@@ -135,7 +137,9 @@
     await world.kill(killed)
     for instance in instances[:-1]:
         member = instance.mesh.members_by_id[id]
-        await until(lambda one=member: one.lost_at is not None, mesh.SILENCE_S / 2)
+        await until(
+            lambda one=member: one.lost_at is not None, mesh.SILENCE_TIMEOUT_S / 2
+        )
 
 
 async def test_signs_of_life_that_were_on_their_way_bring_nobody_back(
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -271,9 +271,9 @@
 def test_an_older_whole_copy_still_tells_of_rows_written_since() -> None:
     """A peer knows its own write before it has read the table up to there."""
     copy = TableCopy("t")
-    copy.take_whole([], 4)
+    copy.apply_snapshot([], 4)
     written = StoredRow(KEYS[0], b"x", 6)
-    assert copy.take_whole([written], 3) == [written]
+    assert copy.apply_snapshot([written], 3) == [written]
     assert (copy.version, copy.read_version) == (6, 4)
 
 
@@ -286,12 +286,12 @@
     """An entry that was removed before the first read was never seen here."""
     copy = TableCopy("t")
     gone = StoredRow(KEYS[0], b"x", 2)
-    copy.take_whole([], 4)
-    assert copy.take_whole([gone], 3) == []
-    assert copy.take_changes([gone], 1, 2) == []
-    assert not copy.take_row(gone)
+    copy.apply_snapshot([], 4)
+    assert copy.apply_snapshot([gone], 3) == []
+    assert copy.apply_changes([gone], 1, 2) == []
+    assert not copy.apply_row(gone)
     assert copy.rows_by_key == {}
-    assert copy.take_row(StoredRow(KEYS[0], b"y", 5))
+    assert copy.apply_row(StoredRow(KEYS[0], b"y", 5))
 
 
 @given(row_changes, st.randoms(use_true_random=False))
@@ -318,11 +318,11 @@
     copy = TableCopy("t")
     for kind, rows, version in told:
         if kind == "whole":
-            copy.take_whole(rows, version)
+            copy.apply_snapshot(rows, version)
         elif kind == "row":
-            copy.take_row(rows[0])
+            copy.apply_row(rows[0])
         else:
-            copy.take_changes(rows, version - 1, version)
+            copy.apply_changes(rows, version - 1, version)
     assert copy.rows_by_key == state
 
 
--- a/tests/gateway/test_holders.py
+++ b/tests/gateway/test_holders.py
@@ -58,7 +58,7 @@
         self.rows.objects["items"] = job_to_bytes(JobRequest([item]))
         self.mesh = Mesh("e-0", OWN, "a", "", [], random.Random(1))
         index = JobIndex()
-        index.copy.take_whole([], 1)
+        index.copy.apply_snapshot([], 1)
         index.entries_by_job[JOB] = ENTRY
         reach = StoreReachability()
         reach.reached = True
--- a/tests/gateway/test_many_messages.py
+++ b/tests/gateway/test_many_messages.py
@@ -21,7 +21,7 @@
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import Counts, Hello, TableWhole
-from caperridge.gateway.mesh.paced_reading import PACE_S
+from caperridge.gateway.mesh.paced_reading import READ_INTERVAL_S
 from caperridge.gateway.mesh.streams import encode
 from caperridge.gateway.news import PeerUpdates
 from caperridge.gateway.watcher import StoreReachability
@@ -154,7 +154,7 @@
 
 
 async def _after_a_rest(zone: Zone) -> None:
-    await asyncio.sleep(PACE_S * 3)
+    await asyncio.sleep(READ_INTERVAL_S * 3)
 
 
 def test_what_comes_after_a_rest_is_heard_at_once(
@@ -167,7 +167,7 @@
         await zone.until(lambda: _heard(zone, "i-0"))
         return zone.loop.time() - began
 
-    assert stepped.run(play()) < PACE_S / 4
+    assert stepped.run(play()) < READ_INTERVAL_S / 4
 
 
 def test_what_comes_soon_after_is_heard_within_the_pace(
@@ -183,7 +183,7 @@
             took_s.append(zone.loop.time() - began)
         return took_s
 
-    assert max(stepped.run(play())) <= PACE_S + 0.002
+    assert max(stepped.run(play())) <= READ_INTERVAL_S + 0.002
 
 
 def test_who_is_about_to_act_hears_what_has_come(
@@ -221,7 +221,7 @@
         await zone.until(lambda: heard)
         return zone.loop.time() - began
 
-    assert stepped.run(play()) <= 2 * PACE_S
+    assert stepped.run(play()) <= 2 * READ_INTERVAL_S
 
 
 def test_counts_that_are_heard_together_are_looked_at_once(
@@ -284,4 +284,4 @@
         await zone.until(lambda: len(zone.mesh.alive()) == PEERS - 1)
         return zone.loop.time() - began
 
-    assert stepped.run(play()) <= PACE_S + 0.002
+    assert stepped.run(play()) <= READ_INTERVAL_S + 0.002
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -104,9 +104,9 @@
     [
         ("a", BEAT_S + mesh.RECENT_S, False),
         ("a", 2 * BEAT_S + mesh.RECENT_S, False),
-        ("a", mesh.SILENCE_S + 0.01, True),
+        ("a", mesh.SILENCE_TIMEOUT_S + 0.01, True),
         ("b", 2 * CONTACTS_PER_ZONE * BEAT_S, False),
-        ("b", mesh.FAR_SILENCE_S + 0.01, True),
+        ("b", mesh.FAR_SILENCE_TIMEOUT_S + 0.01, True),
     ],
 )
 async def test_a_peer_is_lost_after_more_than_two_signs_of_life_stayed_out(
--- a/tests/gateway/test_online.py
+++ b/tests/gateway/test_online.py
@@ -210,7 +210,7 @@
     await world.ready()
     watcher = second._watchers[0]
     second._tasks[0].cancel()  # its watch of the configuration hears nothing more
-    assert watcher.copy.known
+    assert watcher.copy.loaded
     world.configure(7, ROUTES)
     await until(lambda: second.configuration.table.version == 7, within_s=2.0)
     assert first.configuration.table.version == 7
--- a/tests/gateway/test_overdue_answers.py
+++ b/tests/gateway/test_overdue_answers.py
@@ -11,10 +11,10 @@
 from result import Err, Ok, Result
 
 from caperridge.gateway.repeating_store import (
-    LEAST_PATIENCE_S,
-    MOST_CALLS,
-    OVERDUE_TIMES,
-    RepeatingStore,
+    HEDGE_DELAY_RATIO,
+    MAX_CALLS,
+    MIN_HEDGE_DELAY_S,
+    HedgingStore,
 )
 from caperridge.gateway.rows import (
     Done,
@@ -91,26 +91,26 @@
     calls: int,
 ) -> None:
     scripted.answers = answers
-    assert await RepeatingStore(scripted).transact(TRANSACTION) == result
+    assert await HedgingStore(scripted).transact(TRANSACTION) == result
     assert scripted.calls == calls
 
 
 async def test_a_store_that_says_nothing_gets_few_calls(
     scripted: ScriptedStore,
 ) -> None:
-    scripted.answers = [None] * (MOST_CALLS + 1)
-    call = asyncio.create_task(RepeatingStore(scripted).transact(TRANSACTION))
-    await until(lambda: scripted.calls == MOST_CALLS)
-    await asyncio.sleep(LEAST_PATIENCE_S * 2)
-    assert scripted.calls == MOST_CALLS
+    scripted.answers = [None] * (MAX_CALLS + 1)
+    call = asyncio.create_task(HedgingStore(scripted).transact(TRANSACTION))
+    await until(lambda: scripted.calls == MAX_CALLS)
+    await asyncio.sleep(MIN_HEDGE_DELAY_S * 2)
+    assert scripted.calls == MAX_CALLS
     call.cancel()
 
 
 async def test_a_slow_store_is_waited_for(scripted: ScriptedStore) -> None:
-    store = RepeatingStore(scripted)
-    assert store.patience_s("transact") == LEAST_PATIENCE_S
+    store = HedgingStore(scripted)
+    assert store.hedge_delay_s("transact") == MIN_HEDGE_DELAY_S
     store._usual_s_by_call["transact"] = 0.5
-    assert store.patience_s("transact") == 0.5 * OVERDUE_TIMES
+    assert store.hedge_delay_s("transact") == 0.5 * HEDGE_DELAY_RATIO
 
 
 async def test_a_job_is_accepted_at_once_though_answers_are_lost(
--- a/tests/gateway/test_silent_connections.py
+++ b/tests/gateway/test_silent_connections.py
@@ -8,10 +8,10 @@
 import pytest_asyncio
 from result import Ok
 
-from caperridge.gateway.mesh.mesh import SILENCE_S, Mesh
+from caperridge.gateway.mesh.mesh import SILENCE_TIMEOUT_S, Mesh
 from caperridge.gateway.mesh.messages import Heartbeat
 from caperridge.gateway.process import INDEX_SPACING_S, TICK_S
-from caperridge.gateway.silent_sockets import PROBE_AFTER_S
+from caperridge.gateway.silent_sockets import KEEPALIVE_INTERVAL_S
 from caperridge.gateway.watcher import LONG_POLL_S, MIN_RETRY_DELAY_S
 from caperridge.platform.connections import UNACKNOWLEDGED_MS
 from caperridge.platform.store import CALL_S, WATCH_SLACK_S, HttpRowStore
@@ -155,7 +155,7 @@
         limit_ms = connection.getsockopt(level, socket.TCP_USER_TIMEOUT)
         assert limit_ms == UNACKNOWLEDGED_MS
         assert connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
-        assert connection.getsockopt(level, socket.TCP_KEEPIDLE) == PROBE_AFTER_S
+        assert connection.getsockopt(level, socket.TCP_KEEPIDLE) == KEEPALIVE_INTERVAL_S
 
 
 async def test_an_instance_knows_at_once_that_the_store_answers_again(
@@ -242,5 +242,5 @@
 
 async def test_streams_of_peers_that_are_heard_are_kept(pair: MeshPair) -> None:
     opened = [way.opened for way in pair.ways]
-    await asyncio.sleep(SILENCE_S * 2)
+    await asyncio.sleep(SILENCE_TIMEOUT_S * 2)
     assert [way.opened for way in pair.ways] == opened
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -91,7 +91,7 @@
     instance = await world.add_instance()
     await world.ready()
     steps: list[str] = []
-    leave = instance.registry.leave
+    leave = instance.registry.deregister
     close_door = instance._listeners[1].close_door
 
     async def slow_leave() -> None:
@@ -103,7 +103,7 @@
         steps.append("closed")
         await close_door()
 
-    monkeypatch.setattr(instance.registry, "leave", slow_leave)
+    monkeypatch.setattr(instance.registry, "deregister", slow_leave)
     monkeypatch.setattr(instance._listeners[1], "close_door", closes)
     await instance.stop(8.0)
     assert steps == ["left", "closed"]
@@ -263,14 +263,14 @@
     instance = await world.add_instance()
     await world.ready()
     left = asyncio.Event()
-    leave = instance.registry.leave
+    leave = instance.registry.deregister
 
     async def slow_leave() -> None:
         await asyncio.sleep(0.3)
         await leave()
         left.set()
 
-    monkeypatch.setattr(instance.registry, "leave", slow_leave)
+    monkeypatch.setattr(instance.registry, "deregister", slow_leave)
     await instance.stop(3.0)
     assert left.is_set()
 
@@ -290,7 +290,7 @@
     async def fails() -> None:
         raise RuntimeError("broken")
 
-    monkeypatch.setattr(instance.registry, "leave", fails)
+    monkeypatch.setattr(instance.registry, "deregister", fails)
     ask = world.ask(instance, "/once/1", "r1", X_Deadline_Ms=str(timeout_ms))
     asking = asyncio.ensure_future(ask)
     await until(lambda: runner.busy)
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -8,7 +8,7 @@
 
 from caperridge.gateway.mesh.messages import KINDS_BY_NAME, Hello, JobNews
 from caperridge.gateway.mesh.streams import (
-    UNACKNOWLEDGED_MS,
+    USER_TIMEOUT_MS,
     OutStream,
     decode,
     encode,
@@ -29,7 +29,7 @@
     await until(lambda: stream.connected)
     connection = stream._transport.get_extra_info("socket")
     limit_ms = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-    assert limit_ms == UNACKNOWLEDGED_MS
+    assert limit_ms == USER_TIMEOUT_MS
     running.cancel()
     server.close()
 
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -104,7 +104,7 @@
     for instance in instances:
         await until(
             lambda one=instance: one.fleet.targets.named("i-0").draining,
-            mesh.SILENCE_S,
+            mesh.SILENCE_TIMEOUT_S,
         )
 
 
@@ -142,14 +142,14 @@
 ) -> None:
     """Who took them for all there is would serve with a part of the targets."""
     copy_watcher.apply_changes_from_peer([_row(5, b"x")], 0, 5, "peer")
-    assert not copy_watcher.copy.known
+    assert not copy_watcher.copy.loaded
     assert copy_watcher.taken == []
 
 
 def test_a_gap_before_changes_is_looked_for(
     copy_watcher: watching.TableWatcher,
 ) -> None:
-    copy_watcher.copy.take_whole([], 3)
+    copy_watcher.copy.apply_snapshot([], 3)
     copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
     assert copy_watcher.copy.read_version == 5
     assert not copy_watcher._wake.is_set()
@@ -161,7 +161,7 @@
 def test_changes_that_come_twice_or_late_bring_nothing_back(
     copy_watcher: watching.TableWatcher,
 ) -> None:
-    copy_watcher.copy.take_whole([], 3)
+    copy_watcher.copy.apply_snapshot([], 3)
     for _ in range(2):
         copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
         copy_watcher.apply_changes_from_peer([_row(6, b"", True)], 5, 6, "peer")
@@ -199,9 +199,9 @@
     copy_watcher: watching.TableWatcher,
 ) -> None:
     """It is no news to it, but to the others."""
-    copy_watcher.copy.take_whole([], 3)
+    copy_watcher.copy.apply_snapshot([], 3)
     own = _row(5, b"x")
-    copy_watcher.copy.take_row(own)
+    copy_watcher.copy.apply_row(own)
     passed = await _read_pages(copy_watcher, [own], [], [_row(9, b"y")])
     assert passed == [(1, 3, 5), (1, 5, 9)]
 
@@ -209,7 +209,7 @@
 async def test_what_another_reader_passed_on_is_not_passed_on_again(
     copy_watcher: watching.TableWatcher,
 ) -> None:
-    copy_watcher.copy.take_whole([], 3)
+    copy_watcher.copy.apply_snapshot([], 3)
     copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
     passed = await _read_pages(copy_watcher, [_row(5, b"x")], [_row(6, b"y")])
     assert passed == [(1, 5, 6)]
@@ -300,14 +300,14 @@
         return publish
 
     for watcher in watchers:
-        watcher.copy.take_whole([], 0)
+        watcher.copy.apply_snapshot([], 0)
         watcher.publish = passer(watcher)
     asked: set[asyncio.Task] = set()
     for _ in range(200):
         if chance.random() < 0.4:
             row = store.write()
             if chance.random() < 0.3:
-                chance.choice(watchers).copy.take_row(row)
+                chance.choice(watchers).copy.apply_row(row)
         if chance.random() < 0.5 and len(asked) < 3:
             asked.add(asyncio.ensure_future(chance.choice(watchers[:2])._watch(1.0)))
         if chance.random() < 0.05:
@@ -317,7 +317,7 @@
             )
         if chance.random() < 0.05:
             whole = list(store.rows_by_key.values())
-            chance.choice(watchers).copy.take_whole(whole, store.version)
+            chance.choice(watchers).copy.apply_snapshot(whole, store.version)
         await asyncio.sleep(0)
         asked = {one for one in asked if not one.done()}
         for watcher in watchers:
--- a/tests/gateway/test_zones.py
+++ b/tests/gateway/test_zones.py
@@ -5,7 +5,7 @@
 import pytest
 
 from caperridge.gateway.fleet import Fleet
-from caperridge.gateway.mesh.mesh import SILENCE_S, Member
+from caperridge.gateway.mesh.mesh import SILENCE_TIMEOUT_S, Member
 from caperridge.gateway.targets import Target
 from caperridge.gateway.zones import (
     SUSPECT_AFTER_S,
@@ -55,7 +55,7 @@
 def test_it_is_silent_still_when_its_peers_are_lost(peers: Peers) -> None:
     peers.silence("b")
     for member in peers.of("b"):
-        member.lost_at = member.last_received_at + SILENCE_S
+        member.lost_at = member.last_received_at + SILENCE_TIMEOUT_S
     assert silent_zones(peers, NOW) == {"b"}
 
 
