--- a/src/caperridge/gateway/jobs/keeper.py
+++ b/src/caperridge/gateway/jobs/keeper.py
@@ -26,7 +26,7 @@
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import JobNews, SlotGrant
 from caperridge.gateway.rows import RowStore, StoredRow, Transaction
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from caperridge.log import logger
 
 log = logger(__name__)
@@ -53,7 +53,7 @@
         index: JobIndex,
         configuration: ConfigurationInForce,
         mesh: Mesh,
-        reach: StoreReach,
+        reach: StoreReachability,
         writer: JobWriter,
         claimer: JobClaimer,
         slots: ItemSlots,
@@ -178,7 +178,7 @@
 
     def _claim_orphans(self, now: float) -> None:
         """Claim open jobs whose holder is gone and which fall to this instance."""
-        if self.leaving or not self._index.copy.known:
+        if self.leaving or not self._index.copy.loaded:
             return
         if not self._reaches_the_store():
             # It is cut off, and would take the jobs of all whom it does not hear; it
--- a/tests/gateway/test_holders.py
+++ b/tests/gateway/test_holders.py
@@ -22,7 +22,7 @@
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import JobNews
 from caperridge.gateway.rows import StoredRow
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from gateway.conftest import HOST
 from gateway.memory_rows import MemoryRows
 
@@ -58,9 +58,9 @@
         self.rows.objects["items"] = job_to_bytes(JobRequest([item]))
         self.mesh = Mesh("e-0", OWN, "a", "", [], random.Random(1))
         index = JobIndex()
-        index.copy.take_whole([], 1)
+        index.copy.apply_snapshot([], 1)
         index.entries_by_job[JOB] = ENTRY
-        reach = StoreReach()
+        reach = StoreReachability()
         reach.reached = True
         self.keeper = JobKeeper(
             self.rows,
@@ -93,7 +93,7 @@
         members = self.mesh.members_by_id
         member = members.setdefault(id, Member(id, id, "a", self.now))
         if member.lost_at is None and member.incarnation != incarnation:
-            self.mesh.lose(member, "it was started again")
+            self.mesh.mark_lost(member, "it was started again")
         member.incarnation = incarnation
         self.mesh.roster.changes += 1
         self.mesh._heard(member, None)
@@ -102,7 +102,7 @@
         """Find that a life of a peer is silent."""
         member = self.mesh.members_by_id.get(incarnation.partition(".")[0])
         if member is not None and member.lost_at is None:
-            self.mesh.lose(member, "it is silent")
+            self.mesh.mark_lost(member, "it is silent")
 
     def told(self, holder: str) -> None:
         """Hear that ``holder`` has the job."""
