--- a/tests/online/test_fault_table.py
+++ b/tests/online/test_fault_table.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from caperridge.decisions.patience import Patience
+from caperridge.decisions.patience import AdaptiveTimeout
 from caperridge.standins.engine import Engine
 from conftest import Listen
 from online.conftest import TOKENS, FaultyTarget, Front
@@ -49,8 +49,8 @@
     front.headers["Timeout"] = str(DEADLINE_S)
     monkeypatch.setattr("caperridge.targets.engine.LONGEST_CONNECT_S", PATIENT_S)
     policy = front.online.attempts.policy("chat")
-    policy.first = Patience(0.95, 3.0, PATIENT_S, 30.0, cold_s=PATIENT_S)
-    policy.between = Patience(0.95, 3.0, PATIENT_S, 30.0, cold_s=PATIENT_S)
+    policy.first = AdaptiveTimeout(0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S)
+    policy.between = AdaptiveTimeout(0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S)
 
 
 async def add_faulty(front: Front, listen: Listen, fault: str) -> FaultyTarget:
@@ -180,7 +180,7 @@
     await front.ask(stream=False)
     assert front.leaving == ["a-faulty"]
     front.book.apply_list(front.members)  # the list still calls it live
-    assert [item.target for item in front.book.weigh("chat")] == ["b-good"]
+    assert [item.target for item in front.book.rank("chat")] == ["b-good"]
 
 
 async def test_a_refusal_that_holds_anywhere_remembers_an_earlier_attempt(
