--- a/src/caperridge/commands/chunk_claims.py
+++ b/src/caperridge/commands/chunk_claims.py
@@ -10,11 +10,11 @@
 from caperridge.decisions.chunks import Chunk
 from caperridge.decisions.claims import (
     Action,
+    ChunkRow,
     ClaimNew,
-    SeenChunk,
     Split,
     TakeOver,
-    died_state,
+    count_deaths,
 )
 from caperridge.decisions.jobs import CLAIMED, DONE, FREE, OPEN, ChunkState
 from caperridge.records import Record
@@ -143,14 +143,14 @@
     if isinstance(action, ClaimNew):
         return ChunkState(action.chunk.end, CLAIMED, session_id)
     if isinstance(action, TakeOver):
-        before = action.seen.state
+        before = action.row.state
         return ChunkState(
             action.chunk.end,
             CLAIMED,
             session_id,
             attempts=before.attempts + 1,
-            deaths=died_state(action.seen, action.died),
-            previous=_previous(action.seen),
+            deaths=count_deaths(action.row, action.holder_died),
+            previous=_previous(action.row),
         )
     return None
 
@@ -168,14 +168,14 @@
 @_conditions.register
 def _(action: TakeOver) -> list[Condition]:
     key = keys.chunk(action.chunk.job, action.chunk.start)
-    return [RowVersion(key, action.seen.version)]
+    return [RowVersion(key, action.row.version)]
 
 
 @_conditions.register
 def _(action: Split) -> list[Condition]:
     first, *rest = action.parts
     conditions: list[Condition] = [
-        RowVersion(keys.chunk(first.job, first.start), action.seen.version)
+        RowVersion(keys.chunk(first.job, first.start), action.row.version)
     ]
     conditions.extend(RowAbsent(keys.chunk(part.job, part.start)) for part in rest)
     return conditions
@@ -193,15 +193,15 @@
         state = ChunkState(
             part.end,
             FREE,
-            attempts=action.seen.state.attempts,
+            attempts=action.row.state.attempts,
             deaths=1,
-            previous=_previous(action.seen),
+            previous=_previous(action.row),
         )
         writes.append(PutRow(keys.chunk(part.job, part.start), state.to_map()))
     return writes
 
 
-def _previous(seen: SeenChunk) -> str:
+def _previous(seen: ChunkRow) -> str:
     if seen.state.state == FREE:
         return seen.state.previous
     return seen.state.session
--- a/src/caperridge/decisions/chunks.py
+++ b/src/caperridge/decisions/chunks.py
@@ -9,9 +9,9 @@
 from caperridge.records import Record
 
 LANE_ITEMS = 500
-WANTED_CHUNK_S = 10.0
-LEAST_CHUNK_S = 0.5
-FIRST_ROUNDS = 2
+CHUNK_DURATION_S = 10.0
+MIN_CHUNK_S = 0.5
+FIRST_CHUNK_ITEMS_PER_SLOT = 2
 
 
 class Chunk(Record):
@@ -33,7 +33,7 @@
 def chunk_items(items_per_s: float, slots: int, remaining: int, instances: int) -> int:
     """Return how many items the next chunk should have.
 
-    About :data:`WANTED_CHUNK_S` of work; less towards the end of a job, so that its
+    About :data:`CHUNK_DURATION_S` of work; less towards the end of a job, so that its
     last chunks end together on all instances.
 
     Args:
@@ -50,17 +50,17 @@
     16
     """
     if items_per_s <= 0:
-        return max(1, min(LANE_ITEMS, FIRST_ROUNDS * slots))
+        return max(1, min(LANE_ITEMS, FIRST_CHUNK_ITEMS_PER_SLOT * slots))
     share = remaining // (2 * max(1, instances))
-    least = int(items_per_s * LEAST_CHUNK_S)
-    wanted = min(int(items_per_s * WANTED_CHUNK_S), max(share, least))
+    least = int(items_per_s * MIN_CHUNK_S)
+    wanted = min(int(items_per_s * CHUNK_DURATION_S), max(share, least))
     return max(1, min(LANE_ITEMS, wanted))
 
 
-def split(chunk: Chunk, pieces: int) -> list[Chunk]:
+def split_chunk(chunk: Chunk, pieces: int) -> list[Chunk]:
     """Return ``chunk`` in at most ``pieces`` parts of nearly equal size.
 
-    >>> [(c.start, c.end) for c in split(Chunk("j", 0, 5), 2)]
+    >>> [(c.start, c.end) for c in split_chunk(Chunk("j", 0, 5), 2)]
     [(0, 3), (3, 5)]
     """
     size = -(-chunk.items // pieces)
--- a/src/caperridge/decisions/item_failures.py
+++ b/src/caperridge/decisions/item_failures.py
@@ -2,7 +2,7 @@
 
 from functools import singledispatch
 
-from caperridge.decisions.claims import draw
+from caperridge.decisions.claims import stable_hash
 from caperridge.records import Record
 from caperridge.targets.outcomes import (
     AttemptError,
@@ -66,7 +66,7 @@
         text = f"{faults} targets failed on it, the last one: {error.reason}"
         return GiveUp("targets_failed", text, 502)
     delay_s = min(MOST_DELAY_S, FIRST_DELAY_S * 2.0 ** min(tries, 10))
-    jitter = draw(request, str(tries)) / 2.0**64
+    jitter = stable_hash(request, str(tries)) / 2.0**64
     return Retry(faults, delay_s * (0.5 + jitter), faults >= SUSPECT_FAULTS)
 
 
--- a/src/caperridge/decisions/job_order.py
+++ b/src/caperridge/decisions/job_order.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from caperridge.decisions.claims import draw
+from caperridge.decisions.claims import stable_hash
 from caperridge.decisions.jobs import Job
 from caperridge.records import Record
 
@@ -68,7 +68,7 @@
             slack if urgent else float("inf"),
             load.in_hand,
             load.job.due,
-            draw(own, load.job.id),
+            stable_hash(own, load.job.id),
         )
 
     return sorted(able, key=rank)
--- a/src/caperridge/instance/claimer.py
+++ b/src/caperridge/instance/claimer.py
@@ -16,8 +16,8 @@
 from caperridge.decisions.chunks import chunk_items
 from caperridge.decisions.claims import (
     Action,
+    ChunkRow,
     JobView,
-    SeenChunk,
     Split,
     TakeOver,
     plan_claims,
@@ -212,7 +212,7 @@
                 ChunkClaimed(
                     claims.job,
                     chunk,
-                    cached.view.seen_by_start[chunk.start].state,
+                    cached.view.rows_by_start[chunk.start].state,
                     wanted.session,
                     claims.lines_by_start[chunk.start],
                     claims.saved_by_start.get(chunk.start, SavedItems()),
@@ -221,7 +221,7 @@
         return items
 
     def _plan(self, view: JobView, wanted: ClaimWanted, left: int) -> list[Action]:
-        def abandoned(seen: SeenChunk, start: int) -> bool | None:
+        def abandoned(seen: ChunkRow, start: int) -> bool | None:
             session = seen.state.session
             if session == wanted.session:
                 # A claim whose answer was lost for good: ours, but not worked on.
@@ -232,7 +232,7 @@
                 return None
             return state != CLOSED
 
-        gaps = view.gaps()
+        gaps = view.unclaimed_ranges()
         remaining = sum(gap.items for gap in gaps)
         sharers = len(view.holders() | {wanted.session})
         size = chunk_items(
@@ -252,7 +252,7 @@
         assert state is not None
         key = keys.chunk(view.job.id, action.chunk.start)
         version = versions_by_key.get(key, 0)
-        view.seen_by_start[action.chunk.start] = SeenChunk(state, version)
+        view.rows_by_start[action.chunk.start] = ChunkRow(state, version)
         in_hand.add(key)
 
     async def _lines(
@@ -273,7 +273,7 @@
         for action in actions:
             if not isinstance(action, TakeOver):
                 continue
-            state = action.seen.state
+            state = action.row.state
             previous = state.session if state.state == CLAIMED else state.previous
             if not previous:
                 continue
@@ -327,8 +327,8 @@
         if settled.state is None:
             cached.refresh_at = 0.0
             return
-        cached.view.seen_by_start[settled.chunk.start] = SeenChunk(settled.state, 0)
-        if cached.view.gaps():
+        cached.view.rows_by_start[settled.chunk.start] = ChunkRow(settled.state, 0)
+        if cached.view.unclaimed_ranges():
             return
         # Perhaps the last chunk of the job: whoever commits that must see it.
         cached.refresh_at = 0.0
--- a/src/caperridge/instance/sweeper.py
+++ b/src/caperridge/instance/sweeper.py
@@ -103,7 +103,7 @@
         view = await read_view(self._platform, job)
         if isinstance(view, Err) or not view.ok_value.complete():
             return 1
-        kept = {seen.state.result for seen in view.ok_value.seen_by_start.values()}
+        kept = {seen.state.result for seen in view.ok_value.rows_by_start.values()}
         prefix = keys.results(job.id)
         outcome = await sweep_objects(self._platform, prefix, kept, most)
         if isinstance(outcome, Err):
--- a/src/caperridge/measure/capacity.py
+++ b/src/caperridge/measure/capacity.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from caperridge.decisions.chunks import LANE_ITEMS, WANTED_CHUNK_S
+from caperridge.decisions.chunks import CHUNK_DURATION_S, LANE_ITEMS
 from caperridge.decisions.job_reads import (
     OWN_POLL_S,
     OWN_SCAN_S,
@@ -263,7 +263,7 @@
 def chunk_items() -> float:
     """Return the items of a chunk as an instance sizes it at its share."""
     share = items_per_s() / INSTANCES
-    return min(LANE_ITEMS, share * WANTED_CHUNK_S)
+    return min(LANE_ITEMS, share * CHUNK_DURATION_S)
 
 
 def chunks_per_s() -> float:
--- a/src/caperridge/queries/jobs.py
+++ b/src/caperridge/queries/jobs.py
@@ -7,7 +7,7 @@
 from caperridge import keys
 from caperridge.commands.accept_file import STORED, StoredFile
 from caperridge.commands.sessions import LAPSED
-from caperridge.decisions.claims import JobView, SeenChunk
+from caperridge.decisions.claims import ChunkRow, JobView
 from caperridge.decisions.jobs import CLAIMED, COMPLETED, DONE, ChunkState, Job
 from caperridge.queries.rows import read_record, scan_all
 from caperridge.records import Record
@@ -71,10 +71,10 @@
     rows = await scan_all(platform, keys.chunks(job.id))
     if isinstance(rows, Err):
         return rows
-    seen_by_start: dict[int, SeenChunk] = {}
+    seen_by_start: dict[int, ChunkRow] = {}
     for row in rows.ok_value:
         start = int(row.key.rpartition("/")[2])
-        seen_by_start[start] = SeenChunk(ChunkState.from_map(row.value), row.version)
+        seen_by_start[start] = ChunkRow(ChunkState.from_map(row.value), row.version)
     return Ok(JobView(job, seen_by_start))
 
 
@@ -87,7 +87,7 @@
         return view
     progress = Progress()
     progress.completed, progress.failed = view.ok_value.counts()
-    for seen in view.ok_value.seen_by_start.values():
+    for seen in view.ok_value.rows_by_start.values():
         if seen.state.state == DONE:
             progress.chunks_done += 1
         elif seen.state.state == CLAIMED:
@@ -122,7 +122,7 @@
     if isinstance(view, Err):
         yield view
         return
-    for start, seen in sorted(view.ok_value.seen_by_start.items()):
+    for start, seen in sorted(view.ok_value.rows_by_start.items()):
         state = seen.state
         if state.state != DONE or not (state.failed if failed else state.completed):
             continue
--- a/tests/batch/batch_world.py
+++ b/tests/batch/batch_world.py
@@ -11,7 +11,7 @@
 from caperridge.commands.accept_file import STORED
 from caperridge.commands.complete_job import complete_job
 from caperridge.decisions.chunks import Chunk
-from caperridge.decisions.claims import SeenChunk, Split, must_fail, plan_claims
+from caperridge.decisions.claims import ChunkRow, Split, must_fail, plan_claims
 from caperridge.decisions.jobs import DONE, OPEN, ChunkState, Job
 from caperridge.decisions.leases import Lease, SessionWatch
 from caperridge.queries.jobs import open_jobs, read_view, scan_all, session_states
@@ -152,7 +152,7 @@
             if isinstance(states, Err):
                 return False
 
-            def abandoned(seen: SeenChunk, start: int) -> bool | None:
+            def abandoned(seen: ChunkRow, start: int) -> bool | None:
                 session = seen.state.session
                 if session == node.session:
                     mine = keys.chunk(job.id, start) in node.held_by_key  # noqa: B023
