--- a/src/caperridge/decisions/configuration_order.py
+++ b/src/caperridge/decisions/configuration_order.py
@@ -11,8 +11,8 @@
 from caperridge.config.model import KINDS_BY_FIELD, Configuration
 from caperridge.records import Record
 
-MOST_DELTAS = 64  # kept in memory, to answer peers that are a little behind
-MOST_DELTA_BYTES = 2**20
+MAX_DELTAS = 64  # kept in memory, to answer peers that are a little behind
+MAX_DELTA_BYTES = 2**20
 
 
 class Delta(Record):
@@ -51,7 +51,7 @@
         self.data = data
 
 
-class Offer(Enum):
+class OfferResult(Enum):
     """What became of a version that was offered."""
 
     APPLIED = "applied"
@@ -102,7 +102,7 @@
     return Configuration(version=delta.version, **tables)
 
 
-class ConfigurationOrder:
+class ConfigurationVersions:
     """The version in force at one instance; it never goes down."""
 
     def __init__(self) -> None:
@@ -110,37 +110,37 @@
         self._deltas_by_base: OrderedDict[int, PackedDelta] = OrderedDict()
         self._delta_bytes = 0
 
-    def offer(self, configuration: Configuration) -> Offer:
+    def offer(self, configuration: Configuration) -> OfferResult:
         """Take over a whole version if it is higher."""
         if configuration.version <= self.current.version:
-            return Offer.OLD
+            return OfferResult.OLD
         self.current = configuration
-        return Offer.APPLIED
+        return OfferResult.APPLIED
 
-    def offer_delta(self, delta: Delta, packed: PackedDelta) -> Offer:
+    def offer_delta(self, delta: Delta, packed: PackedDelta) -> OfferResult:
         """Take over what ``delta`` leads to if it is higher and its base is here."""
         if delta.version <= self.current.version:
-            return Offer.OLD
+            return OfferResult.OLD
         if delta.base_version != self.current.version:
-            return Offer.GAP
+            return OfferResult.GAP
         self.current = apply_delta(self.current, delta)
-        self.keep(packed)
-        return Offer.APPLIED
+        self.add_delta(packed)
+        return OfferResult.APPLIED
 
-    def keep(self, packed: PackedDelta) -> None:
+    def add_delta(self, packed: PackedDelta) -> None:
         """Keep a delta for peers that are behind; the oldest make room."""
         if packed.base_version in self._deltas_by_base:
             return
         self._deltas_by_base[packed.base_version] = packed
         self._delta_bytes += len(packed.data)
         while (
-            len(self._deltas_by_base) > MOST_DELTAS
-            or self._delta_bytes > MOST_DELTA_BYTES
+            len(self._deltas_by_base) > MAX_DELTAS
+            or self._delta_bytes > MAX_DELTA_BYTES
         ):
             _, dropped = self._deltas_by_base.popitem(last=False)
             self._delta_bytes -= len(dropped.data)
 
-    def chain(self, version: int) -> list[PackedDelta] | None:
+    def deltas_since(self, version: int) -> list[PackedDelta] | None:
         """Return the deltas from ``version`` to the one in force; None: not kept."""
         found: list[PackedDelta] = []
         while version < self.current.version:
--- a/src/caperridge/instance/configuration.py
+++ b/src/caperridge/instance/configuration.py
@@ -17,9 +17,9 @@
 
 from caperridge.config.model import Caller, Configuration, Operator
 from caperridge.decisions.configuration_order import (
-    ConfigurationOrder,
+    ConfigurationVersions,
     Delta,
-    Offer,
+    OfferResult,
     PackedDelta,
 )
 from caperridge.decisions.membership import Membership
@@ -70,7 +70,7 @@
         super().__init__()
         self.known = False
         self.peers = peers or NoPeers()
-        self._order = ConfigurationOrder()
+        self._order = ConfigurationVersions()
         self._platform = platform
         self._applied = applied
         self._membership = membership or Membership("-", "-")
@@ -100,7 +100,7 @@
     def apply(self, configuration: Configuration) -> bool:
         """Take over ``configuration`` if it is higher; return whether it was."""
         self.known = True
-        if self._order.offer(configuration) is not Offer.APPLIED:
+        if self._order.offer(configuration) is not OfferResult.APPLIED:
             return False
         self._took()
         return True
@@ -128,7 +128,7 @@
         version = message.configuration.version
         news = ConfigurationNews(version)
         if message.delta is not None:
-            self._order.keep(message.delta)
+            self._order.add_delta(message.delta)
         if not self.apply(message.configuration):
             return
         if message.delta is not None:
@@ -150,7 +150,7 @@
             return
         self._unread = False
         for delta in head.deltas:
-            self._order.keep(delta)
+            self._order.add_delta(delta)
             self.peers.send_zone(self._news(delta))
         if not head.deltas:
             self.peers.send_zone(ConfigurationNews(head.configuration.version))
@@ -161,7 +161,7 @@
             return
         chain = None
         if message.version != ANYTHING:
-            chain = self._order.chain(message.version)
+            chain = self._order.deltas_since(message.version)
         if chain is None:
             self.peers.send(message.instance, self._whole_news())
             return
@@ -180,12 +180,12 @@
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             log.warning("news that cannot be read", peer=message.instance, why=error)
             return
-        if offer is Offer.GAP:
+        if offer is OfferResult.GAP:
             self._ask(message.instance)
             return
         if self._heard_at is None:
             self._heard_at = self._clock()
-        if offer is not Offer.APPLIED:
+        if offer is not OfferResult.APPLIED:
             return
         self._took()
         self._pass_on(message.instance, news)
@@ -205,10 +205,10 @@
             if instance not in own_zone:
                 self.peers.send(instance, news)
 
-    def _offer(self, news: ConfigurationNews) -> Offer:
+    def _offer(self, news: ConfigurationNews) -> OfferResult:
         if not news.base_version:
             offer = self._order.offer(Configuration.from_bytes(news.data))
-            self._unread = self._unread or offer is Offer.APPLIED
+            self._unread = self._unread or offer is OfferResult.APPLIED
             return offer
         packed = PackedDelta(news.base_version, news.version, news.data)
         return self._order.offer_delta(Delta.from_map(unpack(news.data)), packed)
--- a/tests/configuration/test_order.py
+++ b/tests/configuration/test_order.py
@@ -6,10 +6,10 @@
 from caperridge.commands.confirm_intent import SNAPSHOT_EVERY, HeadMoved
 from caperridge.config.model import FORMAT, Caller, Configuration
 from caperridge.decisions.configuration_order import (
-    MOST_DELTAS,
-    ConfigurationOrder,
+    MAX_DELTAS,
+    ConfigurationVersions,
     Delta,
-    Offer,
+    OfferResult,
     PackedDelta,
     apply_delta,
     make_delta,
@@ -90,34 +90,41 @@
 
 @pytest.mark.parametrize(
     ("base", "version", "offer"),
-    [(4, 5, Offer.APPLIED), (5, 6, Offer.GAP), (2, 3, Offer.OLD), (3, 4, Offer.OLD)],
+    [
+        (4, 5, OfferResult.APPLIED),
+        (5, 6, OfferResult.GAP),
+        (2, 3, OfferResult.OLD),
+        (3, 4, OfferResult.OLD),
+    ],
 )
 def test_a_delta_applies_to_its_base_only(
-    base: int, version: int, offer: Offer
+    base: int, version: int, offer: OfferResult
 ) -> None:
-    order = ConfigurationOrder()
+    order = ConfigurationVersions()
     order.offer(with_callers("a").replace(version=4))
     delta = Delta(base, version)
     assert order.offer_delta(delta, packed(delta)) is offer
-    assert order.current.version == (5 if offer is Offer.APPLIED else 4)
+    assert order.current.version == (5 if offer is OfferResult.APPLIED else 4)
 
 
 def test_a_lower_whole_version_is_not_taken() -> None:
-    order = ConfigurationOrder()
+    order = ConfigurationVersions()
     order.offer(with_callers("a").replace(version=4))
-    assert order.offer(with_callers("b").replace(version=3)) is Offer.OLD
-    assert order.offer(with_callers("b").replace(version=4)) is Offer.OLD
+    assert order.offer(with_callers("b").replace(version=3)) is OfferResult.OLD
+    assert order.offer(with_callers("b").replace(version=4)) is OfferResult.OLD
     assert "a" in order.current.callers_by_name
 
 
 def test_deltas_for_peers_are_bounded() -> None:
-    order = ConfigurationOrder()
-    for version in range(1, MOST_DELTAS + 20):
+    order = ConfigurationVersions()
+    for version in range(1, MAX_DELTAS + 20):
         delta = Delta(version - 1, version)
         order.offer_delta(delta, packed(delta))
-    assert order.chain(1) is None
-    assert len(order.chain(order.current.version - MOST_DELTAS) or []) == MOST_DELTAS
-    assert order.chain(order.current.version) == []
+    assert order.deltas_since(1) is None
+    assert (
+        len(order.deltas_since(order.current.version - MAX_DELTAS) or []) == MAX_DELTAS
+    )
+    assert order.deltas_since(order.current.version) == []
 
 
 async def test_a_fresh_reader_needs_one_snapshot_and_few_rows(world: World) -> None:
@@ -341,7 +348,7 @@
 
 async def test_a_peer_that_lags_far_gets_the_whole(world: World) -> None:
     one, other = list(world.members_by_name.values())[:2]
-    for number in range(MOST_DELTAS + 5):
+    for number in range(MAX_DELTAS + 5):
         await world.confirm(one, with_callers("a", share=1.0 + number))
     other.inbox.clear()
     await one.keeper.handle(ConfigurationAsked(other.name, 2))
