--- a/src/caperridge/commands/confirm_intent.py
+++ b/src/caperridge/commands/confirm_intent.py
@@ -9,7 +9,7 @@
 from caperridge import keys
 from caperridge.config.model import FORMAT, Configuration
 from caperridge.decisions.configuration_order import PackedDelta, make_delta
-from caperridge.decisions.plans import Plan, base_of, make_plan
+from caperridge.decisions.plans import Plan, base_version_of, make_plan
 from caperridge.queries.configuration import Head, LogEntry, read_entry, read_head
 from caperridge.records import Record, pack
 from caperridge.store.interface import (
@@ -144,7 +144,7 @@
 async def _confirmed_before(
     platform: Platform, intent: Intent
 ) -> Result[Confirmed | None, ConfirmError]:
-    base = base_of(intent.digest)
+    base = base_version_of(intent.digest)
     if base is None:
         return Ok(None)
     found = await read_entry(platform, base + 1)
--- a/src/caperridge/decisions/effects.py
+++ b/src/caperridge/decisions/effects.py
@@ -8,7 +8,7 @@
 from caperridge.decisions.reconcile import Loaded, desired_of, gb_between
 from caperridge.records import Record
 
-MOST_NAMES = 10
+MAX_SHOWN_NAMES = 10
 
 
 class Runner(Record):
@@ -32,7 +32,7 @@
         self.loaded = loaded
 
 
-class Facts(Record):
+class PlanContext(Record):
     """What is known of the world when a plan is made.
 
     Attributes:
@@ -54,8 +54,8 @@
         self.open_jobs = open_jobs
 
 
-def describe(
-    plan: Plan, current: Configuration, wanted: Configuration, facts: Facts
+def describe_effects(
+    plan: Plan, current: Configuration, wanted: Configuration, facts: PlanContext
 ) -> Plan:
     """Return ``plan`` with its effects and warnings."""
     account = _Account(current, wanted, facts)
@@ -76,7 +76,7 @@
     """Collects the sentences."""
 
     def __init__(
-        self, current: Configuration, wanted: Configuration, facts: Facts
+        self, current: Configuration, wanted: Configuration, facts: PlanContext
     ) -> None:
         self.effects: list[str] = []
         self.warnings: list[str] = []
@@ -231,6 +231,6 @@
 
 def _names(names: Iterable[str]) -> str:
     found = list(names)
-    shown = ", ".join(found[:MOST_NAMES])
-    more = len(found) - MOST_NAMES
+    shown = ", ".join(found[:MAX_SHOWN_NAMES])
+    more = len(found) - MAX_SHOWN_NAMES
     return f"{shown} and {more} more" if more > 0 else shown
--- a/src/caperridge/decisions/plans.py
+++ b/src/caperridge/decisions/plans.py
@@ -69,7 +69,7 @@
     return Plan(current.version, f"{current.version}-{content}", changes)
 
 
-def base_of(digest: str) -> int | None:
+def base_version_of(digest: str) -> int | None:
     """Return the version that the plan with ``digest`` was made against.
 
     >>> base_of("17-5f"), base_of("no digest")
--- a/src/caperridge/instance/intents_http.py
+++ b/src/caperridge/instance/intents_http.py
@@ -12,13 +12,13 @@
 from caperridge.commands.confirm_intent import confirm_intent as confirm_command
 from caperridge.config import declarations
 from caperridge.config.model import FORMAT, Configuration
-from caperridge.decisions.effects import describe
+from caperridge.decisions.effects import describe_effects
 from caperridge.decisions.plans import Plan, changes_between, make_plan
 from caperridge.findings import FindingsError
 from caperridge.instance.http_common import json_response
 from caperridge.instance.messages import ConfigurationConfirmed
 from caperridge.queries.configuration import read_head, read_history, read_version
-from caperridge.queries.facts import read_facts
+from caperridge.queries.facts import read_plan_context
 from caperridge.queries.in_force import merge, read_versions
 from caperridge.refusals import NOT_RUN, UNKNOWN, Refusal, RefusedError
 from caperridge.store.interface import NotDone
@@ -179,10 +179,10 @@
     ) -> Plan:
         instance = self._instance
         targets = [s.member for s in instance.online.book.states_by_id.values()]
-        facts = await read_facts(
+        facts = await read_plan_context(
             instance.platform, operator, targets, instance.orderer.book
         )
-        return await asyncio.to_thread(describe, plan, head, wanted, facts)
+        return await asyncio.to_thread(describe_effects, plan, head, wanted, facts)
 
 
 async def _body(request: web.Request) -> dict[str, Any]:
--- a/src/caperridge/queries/facts.py
+++ b/src/caperridge/queries/facts.py
@@ -4,18 +4,18 @@
 
 from result import Ok
 
-from caperridge.decisions.effects import Facts, Runner
+from caperridge.decisions.effects import PlanContext, Runner
 from caperridge.decisions.loaded_book import LoadedBook
 from caperridge.queries.jobs import open_jobs
 from caperridge.store.interface import ListedMember, Platform
 
 
-async def read_facts(
+async def read_plan_context(
     platform: Platform,
     operator: str,
     targets: Iterable[ListedMember],
     book: LoadedBook,
-) -> Facts:
+) -> PlanContext:
     """Return the facts as this instance knows them.
 
     Args:
@@ -33,4 +33,6 @@
         runners.append(Runner(member.id, member.service, member.region, loaded))
     runners.sort(key=lambda runner: runner.id)
     jobs = await open_jobs(platform)
-    return Facts(operator, runners, jobs.ok_value if isinstance(jobs, Ok) else None)
+    return PlanContext(
+        operator, runners, jobs.ok_value if isinstance(jobs, Ok) else None
+    )
