--- a/src/caperridge/decisions/item_failures.py
+++ b/src/caperridge/decisions/item_failures.py
@@ -12,13 +12,13 @@
     WrongAnswer,
 )
 
-SUSPECT_FAULTS = 2
-MOST_FAULTS = 5
-FIRST_DELAY_S = 0.2
-MOST_DELAY_S = 20.0
-BUDGET_SHARE = 0.1
-BUDGET_FLOOR_PER_S = 2.0
-MOST_BUDGET = 100.0
+SUSPECT_FAULT_THRESHOLD = 2
+MAX_FAULTS = 5
+INITIAL_RETRY_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 20.0
+RETRY_BUDGET_RATIO = 0.1
+MIN_RETRIES_PER_S = 2.0
+MAX_RETRY_BUDGET = 100.0
 
 
 class Retry(Record):
@@ -36,7 +36,7 @@
         self.alone = alone
 
 
-class GiveUp(Record):
+class FailItem(Record):
     """The item can never be done."""
 
     __slots__ = ("code", "reason", "status")
@@ -49,7 +49,7 @@
 
 def after_failure(
     error: AttemptError, request: str, faults: int, tries: int
-) -> Retry | GiveUp:
+) -> Retry | FailItem:
     """Return what to do.
 
     Args:
@@ -59,36 +59,36 @@
         tries: attempts before this one.
     """
     if isinstance(error, TargetRefused) and error.permanent:
-        return GiveUp("target_refused", error.reason, error.status)
-    if may_be_own_fault(error):
+        return FailItem("target_refused", error.reason, error.status)
+    if may_be_item_fault(error):
         faults += 1
-    if faults >= MOST_FAULTS:
+    if faults >= MAX_FAULTS:
         text = f"{faults} targets failed on it, the last one: {error.reason}"
-        return GiveUp("targets_failed", text, 502)
-    delay_s = min(MOST_DELAY_S, FIRST_DELAY_S * 2.0 ** min(tries, 10))
+        return FailItem("targets_failed", text, 502)
+    delay_s = min(MAX_RETRY_DELAY_S, INITIAL_RETRY_DELAY_S * 2.0 ** min(tries, 10))
     jitter = stable_hash(request, str(tries)) / 2.0**64
-    return Retry(faults, delay_s * (0.5 + jitter), faults >= SUSPECT_FAULTS)
+    return Retry(faults, delay_s * (0.5 + jitter), faults >= SUSPECT_FAULT_THRESHOLD)
 
 
 @singledispatch
-def may_be_own_fault(error: AttemptError) -> bool:
+def may_be_item_fault(error: AttemptError) -> bool:
     """Return whether the item itself may have caused ``error``."""
     raise NotImplementedError(type(error).__name__)
 
 
-@may_be_own_fault.register
+@may_be_item_fault.register
 def _(error: NotSent) -> bool:
     return False
 
 
-@may_be_own_fault.register
+@may_be_item_fault.register
 def _(error: TargetRefused) -> bool:
     # A target that says "not run", or is full or leaving, speaks of itself.
     return error.run != "not_run" and error.status not in (429, 503)
 
 
-@may_be_own_fault.register(Lost)
-@may_be_own_fault.register(WrongAnswer)
+@may_be_item_fault.register(Lost)
+@may_be_item_fault.register(WrongAnswer)
 def _(error: Lost | WrongAnswer) -> bool:
     return True
 
@@ -97,18 +97,18 @@
     """Bounds retries to a share of the items that end, and a floor each second."""
 
     def __init__(self) -> None:
-        self._level = MOST_BUDGET
+        self._level = MAX_RETRY_BUDGET
         self._at: float | None = None
 
-    def ended(self) -> None:
+    def record_finished_item(self) -> None:
         """Note that an item ended, whatever its outcome."""
-        self._level = min(MOST_BUDGET, self._level + BUDGET_SHARE)
+        self._level = min(MAX_RETRY_BUDGET, self._level + RETRY_BUDGET_RATIO)
 
     def take(self, now: float) -> bool:
         """Return whether one more retry may start at ``now``."""
         if self._at is not None:
-            earned = (now - self._at) * BUDGET_FLOOR_PER_S
-            self._level = min(MOST_BUDGET, self._level + earned)
+            earned = (now - self._at) * MIN_RETRIES_PER_S
+            self._level = min(MAX_RETRY_BUDGET, self._level + earned)
         self._at = now
         if self._level < 1.0:
             return False
--- a/src/caperridge/decisions/plain_calls.py
+++ b/src/caperridge/decisions/plain_calls.py
@@ -163,13 +163,13 @@
     return now - max(claim.started, claim.ended) > KEPT_S
 
 
-class Answer(Record):
+class ReturnAnswer(Record):
     """Give the caller the target's answer."""
 
     __slots__ = ()
 
 
-class Move(Record):
+class RetryElsewhere(Record):
     """Try another target."""
 
     __slots__ = ("reason",)
@@ -178,7 +178,7 @@
         self.reason = reason
 
 
-class GiveUp(Record):
+class RefuseCall(Record):
     """Refuse now; ``run`` is true of all attempts together."""
 
     __slots__ = ("code", "reason", "run", "status")
@@ -211,12 +211,12 @@
         self._believes = believes_not_run
         self._budget = budget
 
-    def not_sent(self, reason: str) -> Move | GiveUp:
+    def not_sent(self, reason: str) -> RetryElsewhere | RefuseCall:
         """No byte left for the target."""
         self.attempts += 1
         return self._next(reason)
 
-    def lost(self, reason: str) -> Move | GiveUp:
+    def lost(self, reason: str) -> RetryElsewhere | RefuseCall:
         """The target may have run it, and there is no whole answer."""
         self.attempts += 1
         self.may_have_run = True
@@ -226,41 +226,43 @@
             return self._lost(f"{reason}; too many calls fail to try again")
         return self._next(reason)
 
-    def answered(self, status: int, run: str) -> Answer | Move | GiveUp:
+    def answered(
+        self, status: int, run: str
+    ) -> ReturnAnswer | RetryElsewhere | RefuseCall:
         """The target answered; ``run`` is its word on a refusal, or empty."""
         self.attempts += 1
         if status not in (429, 503):
-            return Answer()
+            return ReturnAnswer()
         if run == NOT_RUN and self._believes:
             return self._next("the target says not run")
         self.may_have_run = True
         last = self.attempts >= MOST_ATTEMPTS
         if self._repeatable and not last and self._budget.take():
-            return Move(f"the target refused with {status}")
+            return RetryElsewhere(f"the target refused with {status}")
         if run == NOT_RUN:
             # Its word does not count, so it must not reach the caller either.
             text = f"the target refused with {status}"
-            return GiveUp("target_refused", text, status, UNKNOWN)
-        return Answer()
+            return RefuseCall("target_refused", text, status, UNKNOWN)
+        return ReturnAnswer()
 
-    def no_target(self) -> GiveUp:
+    def no_target(self) -> RefuseCall:
         """No target is left to try."""
         if self.may_have_run:
             return self._lost("no other target can take it")
-        return GiveUp("no_target", "no target can take it now", 503, NOT_RUN)
+        return RefuseCall("no_target", "no target can take it now", 503, NOT_RUN)
 
-    def too_large(self, reason: str) -> GiveUp:
+    def too_large(self, reason: str) -> RefuseCall:
         """The target answered more than is passed on."""
         self.attempts += 1
-        return GiveUp("answer_too_large", reason, 502, UNKNOWN)
+        return RefuseCall("answer_too_large", reason, 502, UNKNOWN)
 
-    def _next(self, reason: str) -> Move | GiveUp:
+    def _next(self, reason: str) -> RetryElsewhere | RefuseCall:
         if self.attempts < MOST_ATTEMPTS:
-            return Move(reason)
+            return RetryElsewhere(reason)
         if self.may_have_run:
             return self._lost(reason)
         text = f"{self.attempts} targets did not take it; the last: {reason}"
-        return GiveUp("attempts_used_up", text, 503, NOT_RUN)
+        return RefuseCall("attempts_used_up", text, 503, NOT_RUN)
 
-    def _lost(self, reason: str) -> GiveUp:
-        return GiveUp("answer_lost", reason, 502, UNKNOWN)
+    def _lost(self, reason: str) -> RefuseCall:
+        return RefuseCall("answer_lost", reason, 502, UNKNOWN)
--- a/src/caperridge/decisions/plans.py
+++ b/src/caperridge/decisions/plans.py
@@ -72,7 +72,7 @@
 def base_version_of(digest: str) -> int | None:
     """Return the version that the plan with ``digest`` was made against.
 
-    >>> base_of("17-5f"), base_of("no digest")
+    >>> base_version_of("17-5f"), base_version_of("no digest")
     (17, None)
     """
     base, dash, _content = digest.partition("-")
--- a/src/caperridge/instance/dispatcher.py
+++ b/src/caperridge/instance/dispatcher.py
@@ -12,7 +12,11 @@
 from typing import Any
 
 from caperridge.decisions.claims import must_fail
-from caperridge.decisions.item_failures import SUSPECT_FAULTS, GiveUp, after_failure
+from caperridge.decisions.item_failures import (
+    SUSPECT_FAULT_THRESHOLD,
+    FailItem,
+    after_failure,
+)
 from caperridge.decisions.job_board import JobBoard
 from caperridge.decisions.jobs import ItemFaults, ItemResult, Job
 from caperridge.decisions.membership import Membership
@@ -221,7 +225,7 @@
             self._retries.add(item, self._clock(), alone=False)
             return
         verdict = after_failure(error, item.request, place.faults, place.failures)
-        if isinstance(verdict, GiveUp):
+        if isinstance(verdict, FailItem):
             result = failed_result(place, verdict.code, verdict.reason, verdict.status)
             self._end_item(place.work, result)
             return
@@ -332,7 +336,7 @@
         """Let the items of ``work`` run; those that broke targets one by one."""
         for item in list(work.items_by_index.values()):
             place: ItemPlace = item.context
-            if place.faults >= SUSPECT_FAULTS:
+            if place.faults >= SUSPECT_FAULT_THRESHOLD:
                 self._retries.add(item, self._clock(), alone=True)
                 continue
             self.streams.submit(item)
--- a/src/caperridge/instance/item_retries.py
+++ b/src/caperridge/instance/item_retries.py
@@ -27,7 +27,7 @@
 
     def ended(self, item: ItemWork) -> None:
         """Note that an attempt at ``item`` ended, whatever its outcome."""
-        self._budget.ended()
+        self._budget.record_finished_item()
         if self._suspect is item:
             self._suspect = None
 
--- a/src/caperridge/instance/plain_calls.py
+++ b/src/caperridge/instance/plain_calls.py
@@ -9,10 +9,10 @@
 from caperridge.config.model import Caller, Service
 from caperridge.decisions.plain_calls import (
     COME_BACK_S,
-    Answer,
     CallCourse,
-    GiveUp,
-    Move,
+    RefuseCall,
+    RetryElsewhere,
+    ReturnAnswer,
 )
 from caperridge.decisions.retry_budget import RetryBudget
 from caperridge.decisions.routing import TargetBook
@@ -139,9 +139,9 @@
             request.trace.add("sent", "least expected wait", target=target)
             outcome = await self._attempt(target, request.call)
             action = self._judge(course, target, outcome)
-            if isinstance(action, GiveUp):
+            if isinstance(action, RefuseCall):
                 raise _given_up(request, action)
-            if isinstance(action, Answer):
+            if isinstance(action, ReturnAnswer):
                 answer = outcome.ok_value
                 request.trace.add("answered", f"status {answer.status}")
                 return answer
@@ -165,7 +165,7 @@
         course: CallCourse,
         target: str,
         outcome: Result[PlainAnswer, PlainError],
-    ) -> Answer | Move | GiveUp:
+    ) -> ReturnAnswer | RetryElsewhere | RefuseCall:
         if isinstance(outcome, Err):
             error = outcome.err_value
             if not isinstance(error, AnswerTooLarge):
@@ -179,7 +179,7 @@
         return course.answered(answer.status, word.run)
 
 
-def _judge_error(course: CallCourse, error: PlainError) -> Move | GiveUp:
+def _judge_error(course: CallCourse, error: PlainError) -> RetryElsewhere | RefuseCall:
     if isinstance(error, NotSent):
         return course.not_sent(error.reason)
     if isinstance(error, AnswerTooLarge):
@@ -187,7 +187,7 @@
     return course.lost(error.reason)
 
 
-def _given_up(request: PlainRequest, action: GiveUp) -> RefusedError:
+def _given_up(request: PlainRequest, action: RefuseCall) -> RefusedError:
     retry_after_s = COME_BACK_S if action.run == NOT_RUN else 0.0
     return request.refuse(
         action.code, action.reason, action.status, action.run, retry_after_s
--- a/tests/batch/test_batch_decisions.py
+++ b/tests/batch/test_batch_decisions.py
@@ -3,8 +3,8 @@
 import pytest
 
 from caperridge.decisions.item_failures import (
-    MOST_FAULTS,
-    GiveUp,
+    MAX_FAULTS,
+    FailItem,
     Retry,
     RetryBudget,
     after_failure,
@@ -68,14 +68,14 @@
     verdict = after_failure(error, "r", faults=0, tries=0)
     assert isinstance(verdict, Retry)
     assert verdict.faults == int(own)
-    last = after_failure(error, "r", faults=MOST_FAULTS - 1, tries=9)
-    assert isinstance(last, GiveUp if own else Retry)
+    last = after_failure(error, "r", faults=MAX_FAULTS - 1, tries=9)
+    assert isinstance(last, FailItem if own else Retry)
 
 
 @pytest.mark.parametrize("status", [400, 404, 413, 422])
 def test_a_permanent_refusal_fails_the_item_with_its_reason(status: int) -> None:
     verdict = after_failure(TargetRefused(status, "too long"), "r", 0, 0)
-    assert verdict == GiveUp("target_refused", "too long", status)
+    assert verdict == FailItem("target_refused", "too long", status)
 
 
 def test_retries_are_bounded_by_a_budget() -> None:
--- a/tests/batch/test_checkpoints.py
+++ b/tests/batch/test_checkpoints.py
@@ -7,7 +7,7 @@
 
 from caperridge import keys
 from caperridge.decisions.chunks import Chunk
-from caperridge.decisions.item_failures import MOST_FAULTS, GiveUp, after_failure
+from caperridge.decisions.item_failures import MAX_FAULTS, FailItem, after_failure
 from caperridge.decisions.jobs import CLAIMED, ChunkState, ItemFaults, Job
 from caperridge.instance.checkpoints import FAULTS_S, SLOTS, Checkpoints
 from caperridge.instance.chunk_work import ChunkWork, failed_result
@@ -40,7 +40,7 @@
     platform = MemoryPlatform(time.monotonic)
     tries = 0
     previous = ""
-    for holder in range(MOST_FAULTS + 1):
+    for holder in range(MAX_FAULTS + 1):
         session = f"session-{holder}"
         work = await held(platform, session, previous)
         checkpoints = Checkpoints()
@@ -51,7 +51,7 @@
         place = work.items_by_index[BREAKER].context
         tries += 1
         verdict = after_failure(Lost("it broke"), "r", place.faults, place.failures)
-        if isinstance(verdict, GiveUp):
+        if isinstance(verdict, FailItem):
             break
         place.faults = verdict.faults
         checkpoints.failed(JOB.id, ItemFaults(BREAKER, place.faults), 1.0)
@@ -59,7 +59,7 @@
         assert checkpoints.due(1.0 + FAULTS_S)
         await save(platform, checkpoints, work)
         previous = session
-    assert (tries, verdict.code) == (MOST_FAULTS, "targets_failed")
+    assert (tries, verdict.code) == (MAX_FAULTS, "targets_failed")
 
 
 async def test_a_saved_result_ends_an_item_that_had_faults() -> None:
--- a/tests/product/test_operators_pages.py
+++ b/tests/product/test_operators_pages.py
@@ -17,7 +17,16 @@
 ROOT = Path(__file__).parents[2]
 PAGES = ROOT / "docs" / "operators"
 # What makes a refusal, or is turned into one, and gets its code as an argument.
-MAKERS = {"Refusal", "refuse", "_refuse", "GiveUp", "Stop", "TurnedAway", "OverLimit"}
+MAKERS = {
+    "Refusal",
+    "refuse",
+    "_refuse",
+    "FailItem",
+    "RefuseCall",
+    "Stop",
+    "TurnedAway",
+    "OverLimit",
+}
 MAKERS |= {"failed_result"}
 CODE = re.compile(r"[a-z]+(_[a-z]+)*")
 ELSEWHERE = {"cli", "demo", "measure", "standins"}
