--- a/src/caperridge/decisions/plain_calls.py
+++ b/src/caperridge/decisions/plain_calls.py
@@ -15,13 +15,13 @@
 DONE = "done"
 LOST = "lost"
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 # Longer than any call lasts, and than clocks of instances differ by.
-MOST_RUNNING_S = 120.0
-COME_BACK_S = 1.0
-KEPT_S = 7 * 86400.0  # how long a key is remembered
+MAX_RUNNING_S = 120.0
+RETRY_AFTER_S = 1.0
+KEY_RETENTION_S = 7 * 86400.0  # how long a key is remembered
 # A call whose claim cannot be looked up may have run under the same key before.
-UNCLAIMED_RUN = UNKNOWN
+UNREADABLE_CLAIM_RUN = UNKNOWN
 
 
 class CallClaim(Record):
@@ -82,7 +82,7 @@
         self.reason = reason
 
 
-class OtherCall(Record):
+class KeyReused(Record):
     """The key names a call with another method, path or body."""
 
     __slots__ = ()
@@ -116,7 +116,7 @@
         self.reason = reason
 
 
-ResendAction = OtherCall | AnswerRecorded | StillRunning | OutcomeUnknown
+ResendAction = KeyReused | AnswerRecorded | StillRunning | OutcomeUnknown
 
 
 def call_digest(method: str, path: str, body: bytes) -> str:
@@ -141,26 +141,26 @@
         now: seconds since the epoch.
     """
     if claim.digest != digest:
-        return OtherCall()
+        return KeyReused()
     if claim.state == DONE:
         return AnswerRecorded(claim)
     if claim.state == LOST:
         return OutcomeUnknown(claim.request, claim.reason)
     if not holder_alive:
         return OutcomeUnknown(claim.request, "the instance that sent it is gone")
-    if now - claim.started > MOST_RUNNING_S:
+    if now - claim.started > MAX_RUNNING_S:
         return OutcomeUnknown(claim.request, "its outcome was never recorded")
     return StillRunning(claim.request)
 
 
-def may_forget(claim: CallClaim, now: float) -> bool:
+def is_expired(claim: CallClaim, now: float) -> bool:
     """Return whether the key was remembered for long enough.
 
     Args:
         claim: as read.
         now: seconds since the epoch.
     """
-    return now - max(claim.started, claim.ended) > KEPT_S
+    return now - max(claim.started, claim.ended) > KEY_RETENTION_S
 
 
 class ReturnAnswer(Record):
@@ -190,7 +190,7 @@
         self.run = run
 
 
-class CallCourse:
+class CallAttempts:
     """The attempts of one call so far.
 
     Args:
@@ -211,12 +211,12 @@
         self._believes = believes_not_run
         self._budget = budget
 
-    def not_sent(self, reason: str) -> RetryElsewhere | RefuseCall:
+    def record_not_sent(self, reason: str) -> RetryElsewhere | RefuseCall:
         """No byte left for the target."""
         self.attempts += 1
         return self._next(reason)
 
-    def lost(self, reason: str) -> RetryElsewhere | RefuseCall:
+    def record_lost(self, reason: str) -> RetryElsewhere | RefuseCall:
         """The target may have run it, and there is no whole answer."""
         self.attempts += 1
         self.may_have_run = True
@@ -226,7 +226,7 @@
             return self._lost(f"{reason}; too many calls fail to try again")
         return self._next(reason)
 
-    def answered(
+    def record_answer(
         self, status: int, run: str
     ) -> ReturnAnswer | RetryElsewhere | RefuseCall:
         """The target answered; ``run`` is its word on a refusal, or empty."""
@@ -236,7 +236,7 @@
         if run == NOT_RUN and self._believes:
             return self._next("the target says not run")
         self.may_have_run = True
-        last = self.attempts >= MOST_ATTEMPTS
+        last = self.attempts >= MAX_ATTEMPTS
         if self._repeatable and not last and self._budget.take():
             return RetryElsewhere(f"the target refused with {status}")
         if run == NOT_RUN:
@@ -245,19 +245,19 @@
             return RefuseCall("target_refused", text, status, UNKNOWN)
         return ReturnAnswer()
 
-    def no_target(self) -> RefuseCall:
+    def refuse_no_target(self) -> RefuseCall:
         """No target is left to try."""
         if self.may_have_run:
             return self._lost("no other target can take it")
         return RefuseCall("no_target", "no target can take it now", 503, NOT_RUN)
 
-    def too_large(self, reason: str) -> RefuseCall:
+    def refuse_too_large(self, reason: str) -> RefuseCall:
         """The target answered more than is passed on."""
         self.attempts += 1
         return RefuseCall("answer_too_large", reason, 502, UNKNOWN)
 
     def _next(self, reason: str) -> RetryElsewhere | RefuseCall:
-        if self.attempts < MOST_ATTEMPTS:
+        if self.attempts < MAX_ATTEMPTS:
             return RetryElsewhere(reason)
         if self.may_have_run:
             return self._lost(reason)
--- a/src/caperridge/decisions/plain_items.py
+++ b/src/caperridge/decisions/plain_items.py
@@ -9,13 +9,13 @@
 from caperridge.targets.outcomes import AttemptError, Lost, TargetRefused
 
 # Of a target's places, the part that is always left to online calls.
-ONLINE_SHARE = 0.25
+ONLINE_RESERVED_RATIO = 0.25
 STARTED_BEFORE = "an earlier holder started it, and its result was not saved"
 STARTED_HERE = "it was started here before, and its answer did not come"
 OUTCOME_UNKNOWN = "unknown"
 
 
-class Final(Record):
+class FinalResult(Record):
     """No further attempt; ``code`` is empty if the answer is the item's result."""
 
     __slots__ = ("code", "reason", "run", "status")
@@ -29,7 +29,7 @@
         self.run = run
 
 
-def batch_places(most_running: int, online: int, running: int) -> int:
+def batch_slots(most_running: int, online: int, running: int) -> int:
     """Return how many more items may start at a target; online calls go first.
 
     Args:
@@ -37,22 +37,24 @@
         online: online calls known to be there.
         running: items that run there now.
 
-    >>> batch_places(16, online=0, running=0), batch_places(16, online=10, running=1)
+    >>> batch_slots(16, online=0, running=0), batch_slots(16, online=10, running=1)
     (12, 1)
-    >>> batch_places(1, online=0, running=0), batch_places(1, online=1, running=0)
+    >>> batch_slots(1, online=0, running=0), batch_slots(1, online=1, running=0)
     (1, 0)
     """
-    return max(0, most_running - int(most_running * ONLINE_SHARE) - online - running)
+    return max(
+        0, most_running - int(most_running * ONLINE_RESERVED_RATIO) - online - running
+    )
 
 
-def unknown(reason: str) -> Final:
+def unknown_outcome(reason: str) -> FinalResult:
     """Return the end of an item that may have run, once, without a known answer."""
-    return Final(502, OUTCOME_UNKNOWN, reason, UNKNOWN)
+    return FinalResult(502, OUTCOME_UNKNOWN, reason, UNKNOWN)
 
 
-def after_answer(
+def classify_answer(
     status: int, run: str, repeatable: bool, believes_not_run: bool
-) -> Final | TargetRefused:
+) -> FinalResult | TargetRefused:
     """Return what a whole answer means.
 
     Args:
@@ -62,7 +64,7 @@
         believes_not_run: whether the target's "not run" counts.
     """
     if status < 400:
-        return Final(status)
+        return FinalResult(status)
     reason = f"the target refused with {status}"
     busy = status in (429, 503)
     if busy and run == NOT_RUN and believes_not_run:
@@ -70,12 +72,12 @@
     if repeatable and (busy or status >= 500):
         return TargetRefused(status, reason, UNKNOWN)
     if busy:
-        return unknown(f"{reason}, and may have run it")
-    return Final(status, "target_refused", reason, UNKNOWN)
+        return unknown_outcome(f"{reason}, and may have run it")
+    return FinalResult(status, "target_refused", reason, UNKNOWN)
 
 
-def after_error(error: AttemptError, repeatable: bool) -> Final | AttemptError:
+def classify_error(error: AttemptError, repeatable: bool) -> FinalResult | AttemptError:
     """Return what an attempt without a whole answer means; an error is tried again."""
     if isinstance(error, Lost) and not repeatable:
-        return unknown(error.reason)
+        return unknown_outcome(error.reason)
     return error
--- a/src/caperridge/instance/call_sweeper.py
+++ b/src/caperridge/instance/call_sweeper.py
@@ -8,7 +8,7 @@
 from caperridge import keys
 from caperridge.commands.forget_call import forget_call
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.plain_calls import CallClaim, may_forget
+from caperridge.decisions.plain_calls import CallClaim, is_expired
 from caperridge.instance.actor import Actor
 from caperridge.store.interface import Platform
 
@@ -50,7 +50,7 @@
         if isinstance(page, Err):
             return
         for row in page.ok_value:
-            if may_forget(CallClaim.from_map(row.value), self._clock()):
+            if is_expired(CallClaim.from_map(row.value), self._clock()):
                 await forget_call(self._platform, row)
         rows = page.ok_value
         self._after = rows[-1].key if len(rows) == PAGE else ""
--- a/src/caperridge/instance/item_work.py
+++ b/src/caperridge/instance/item_work.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from caperridge.commands.started_items import HeldChunk, StartedRow
-from caperridge.decisions.plain_items import Final
+from caperridge.decisions.plain_items import FinalResult
 
 
 class ItemWork:
@@ -115,7 +115,7 @@
         self.chunk = chunk
         self.row: StartedRow | None = None
         self.sent = False
-        self.final: Final | None = None
+        self.final: FinalResult | None = None
         self.answer: Any = None
 
     @property
--- a/src/caperridge/instance/keyed_calls.py
+++ b/src/caperridge/instance/keyed_calls.py
@@ -21,13 +21,13 @@
     release_call,
 )
 from caperridge.decisions.plain_calls import (
-    COME_BACK_S,
     DONE,
+    RETRY_AFTER_S,
     RUNNING,
-    UNCLAIMED_RUN,
+    UNREADABLE_CLAIM_RUN,
     AnswerRecorded,
     CallClaim,
-    OtherCall,
+    KeyReused,
     OutcomeUnknown,
     StillRunning,
     call_digest,
@@ -158,8 +158,10 @@
             "nothing was sent for this request, but whether the key's call ran "
             f"before cannot be looked up: {error.reason}"
         )
-        retry_after_s = max(COME_BACK_S, getattr(error, "retry_after_s", 0.0))
-        raise request.refuse("platform_away", text, 503, UNCLAIMED_RUN, retry_after_s)
+        retry_after_s = max(RETRY_AFTER_S, getattr(error, "retry_after_s", 0.0))
+        raise request.refuse(
+            "platform_away", text, 503, UNREADABLE_CLAIM_RUN, retry_after_s
+        )
 
     async def _resent(
         self, request: PlainRequest, claim: CallClaim, digest: str
@@ -170,7 +172,7 @@
             alive = isinstance(found, Err) or found.ok_value
         action = on_resend(claim, digest, alive, self._clock())
         match action:
-            case OtherCall():
+            case KeyReused():
                 text = "this idempotency key names another call"
                 raise request.refuse("key_reused", text, 409, NOT_RUN)
             case StillRunning():
@@ -186,14 +188,14 @@
         body = await recorded_body(self._platform, claim)
         if isinstance(body, Err):
             text = f"the call ran, its answer cannot be read now: {body.err_value}"
-            raise request.refuse("platform_away", text, 503, RAN, COME_BACK_S)
+            raise request.refuse("platform_away", text, 503, RAN, RETRY_AFTER_S)
         request.trace.add("answered", "recorded before", request=claim.request)
         headers = of_pairs(claim.headers)
         headers["Idempotent-Replayed"] = "true"
         return PlainAnswer(claim.status, headers, body.ok_value)
 
     def _in_progress(self, request: PlainRequest, reason: str) -> RefusedError:
-        return request.refuse("in_progress", reason, 409, UNKNOWN, COME_BACK_S)
+        return request.refuse("in_progress", reason, 409, UNKNOWN, RETRY_AFTER_S)
 
     async def _record_refusal(
         self, row: str, claim: CallClaim, refused: RefusedError
--- a/src/caperridge/instance/plain_calls.py
+++ b/src/caperridge/instance/plain_calls.py
@@ -8,8 +8,8 @@
 
 from caperridge.config.model import Caller, Service
 from caperridge.decisions.plain_calls import (
-    COME_BACK_S,
-    CallCourse,
+    RETRY_AFTER_S,
+    CallAttempts,
     RefuseCall,
     RetryElsewhere,
     ReturnAnswer,
@@ -124,7 +124,7 @@
         service = request.service
         budget = self._budgets_by_service.setdefault(service.name, RetryBudget())
         budget.deposit()
-        course = CallCourse(service.repeatable, service.believes_not_run, budget)
+        course = CallAttempts(service.repeatable, service.believes_not_run, budget)
         excluded: set[str] = set()
         refusal: PlainAnswer | None = None
         while True:
@@ -133,7 +133,7 @@
                 # The service is overloaded; its own word says more than ours.
                 return refusal
             if not weighed:
-                raise _given_up(request, course.no_target())
+                raise _given_up(request, course.refuse_no_target())
             target = weighed[0].target
             excluded.add(target)
             request.trace.add("sent", "least expected wait", target=target)
@@ -162,7 +162,7 @@
 
     def _judge(
         self,
-        course: CallCourse,
+        course: CallAttempts,
         target: str,
         outcome: Result[PlainAnswer, PlainError],
     ) -> ReturnAnswer | RetryElsewhere | RefuseCall:
@@ -176,19 +176,21 @@
         word = target_word(answer.status, answer.body)
         if word.leaving:
             self._leaving(target)
-        return course.answered(answer.status, word.run)
+        return course.record_answer(answer.status, word.run)
 
 
-def _judge_error(course: CallCourse, error: PlainError) -> RetryElsewhere | RefuseCall:
+def _judge_error(
+    course: CallAttempts, error: PlainError
+) -> RetryElsewhere | RefuseCall:
     if isinstance(error, NotSent):
-        return course.not_sent(error.reason)
+        return course.record_not_sent(error.reason)
     if isinstance(error, AnswerTooLarge):
-        return course.too_large(error.reason)
-    return course.lost(error.reason)
+        return course.refuse_too_large(error.reason)
+    return course.record_lost(error.reason)
 
 
 def _given_up(request: PlainRequest, action: RefuseCall) -> RefusedError:
-    retry_after_s = COME_BACK_S if action.run == NOT_RUN else 0.0
+    retry_after_s = RETRY_AFTER_S if action.run == NOT_RUN else 0.0
     return request.refuse(
         action.code, action.reason, action.status, action.run, retry_after_s
     )
--- a/src/caperridge/instance/plain_item_calls.py
+++ b/src/caperridge/instance/plain_item_calls.py
@@ -6,7 +6,7 @@
 import orjson
 from multidict import CIMultiDict
 
-from caperridge.decisions.plain_items import Final
+from caperridge.decisions.plain_items import FinalResult
 from caperridge.instance.item_work import PlainItemWork
 from caperridge.records import Record
 from caperridge.refusals import NOT_RUN
@@ -54,15 +54,15 @@
     return ServicePath(service, path)
 
 
-def call_of(work: PlainItemWork) -> PlainCall | Final:
+def call_of(work: PlainItemWork) -> PlainCall | FinalResult:
     """Return what is sent for an item, or its end if that cannot be."""
     found = service_path(work.url)
     if found is None or found.service != work.service:
         text = f"its url must be below /services/{work.service}/"
-        return Final(400, "wrong_url", text, NOT_RUN)
+        return FinalResult(400, "wrong_url", text, NOT_RUN)
     if work.method not in METHODS:
         text = f"its method must be one of {[*METHODS]}"
-        return Final(400, "wrong_method", text, NOT_RUN)
+        return FinalResult(400, "wrong_method", text, NOT_RUN)
     headers = CIMultiDict(
         {
             "Content-Type": "application/json",
--- a/src/caperridge/instance/plain_items.py
+++ b/src/caperridge/instance/plain_items.py
@@ -17,11 +17,11 @@
 from caperridge.decisions.plain_items import (
     STARTED_BEFORE,
     STARTED_HERE,
-    Final,
-    after_answer,
-    after_error,
-    batch_places,
-    unknown,
+    FinalResult,
+    batch_slots,
+    classify_answer,
+    classify_error,
+    unknown_outcome,
 )
 from caperridge.instance.item_starts import ItemStarts
 from caperridge.instance.item_work import ItemWork, PlainItemWork
@@ -121,7 +121,7 @@
         if found is None:
             return 0
         places = sum(
-            batch_places(found.most_running, self._targets.online(target), 0)
+            batch_slots(found.most_running, self._targets.online(target), 0)
             for target in self._targets.own(service)
         )
         return max(0, WAITING_ROUNDS * places - self._held(service))
@@ -131,7 +131,7 @@
         if work.request in self._running_by_request or work.final is not None:
             return  # It went on over a pause of the lease.
         call = call_of(work)
-        if isinstance(call, Final):
+        if isinstance(call, FinalResult):
             self._end(work, call)
             return
         queues = self._waiting_by_service
@@ -225,7 +225,7 @@
     def _places(self, target: str, service: Service) -> int:
         running = self._count_by_target.get(target, 0)
         online = self._targets.online(target)
-        return batch_places(service.most_running, online, running)
+        return batch_slots(service.most_running, online, running)
 
     def _fill_target(self, target: str, address: str, service: Service) -> None:
         if service.repeatable:
@@ -238,7 +238,7 @@
             if work.request in self._running_by_request or work.final is not None:
                 continue
             if work.sent and not service.repeatable:
-                self._end(work, unknown(STARTED_HERE))
+                self._end(work, unknown_outcome(STARTED_HERE))
                 continue
             places -= 1
             self._count_by_target[target] = self._count_by_target.get(target, 0) + 1
@@ -277,7 +277,7 @@
         work.sent = True
         outcome = await self.client.call(address, call)
         verdict = _judge(outcome, service)
-        if isinstance(verdict, Final):
+        if isinstance(verdict, FinalResult):
             work.final = verdict
             if isinstance(outcome, Ok):
                 work.answer = result_body(outcome.ok_value)
@@ -287,7 +287,7 @@
             work.sent = False
         return verdict
 
-    def _end(self, work: PlainItemWork, final: Final) -> None:
+    def _end(self, work: PlainItemWork, final: FinalResult) -> None:
         work.final = final
         self._started_by_request.pop(work.request, None)
         self._finished(work, None)
@@ -317,7 +317,7 @@
             waiting = self._waiting_by_service.setdefault(name, deque())
             waiting.extendleft(reversed(outcome.left))
         for work in outcome.started_before:
-            self._end(work, unknown(STARTED_BEFORE))
+            self._end(work, unknown_outcome(STARTED_BEFORE))
         for work in outcome.not_ours:
             self._finished(work, NotSent("its chunk is no longer ours"))
         self.fill()
@@ -325,14 +325,14 @@
 
 def _judge(
     outcome: Result[PlainAnswer, PlainError], service: Service
-) -> Final | AttemptError:
+) -> FinalResult | AttemptError:
     if isinstance(outcome, Err):
         error = outcome.err_value
         if isinstance(error, AnswerTooLarge):
-            return Final(502, "answer_too_large", error.reason, UNKNOWN)
-        return after_error(error, service.repeatable)
+            return FinalResult(502, "answer_too_large", error.reason, UNKNOWN)
+        return classify_error(error, service.repeatable)
     answer = outcome.ok_value
     run = target_word(answer.status, answer.body).run
-    return after_answer(
+    return classify_answer(
         answer.status, run, service.repeatable, service.believes_not_run
     )
--- a/tests/plain/items_world.py
+++ b/tests/plain/items_world.py
@@ -14,7 +14,7 @@
 from caperridge.commands.started_items import HeldChunk
 from caperridge.config.model import Service
 from caperridge.decisions.jobs import CANCELLED, CLAIMED, OPEN, ChunkState
-from caperridge.decisions.plain_items import Final
+from caperridge.decisions.plain_items import FinalResult
 from caperridge.instance.item_work import PlainItemWork
 from caperridge.instance.plain_items import PlainItems
 from caperridge.standins.platform import MemoryPlatform
@@ -93,7 +93,7 @@
     """One instance that holds the chunk: its items and their ends."""
 
     def __init__(self, world: "World", held: HeldChunk, items: Iterable[int]) -> None:
-        self.finals: dict[int, Final] = {}
+        self.finals: dict[int, FinalResult] = {}
         self.tries_by_item: dict[int, int] = {}
         self.again: list[PlainItemWork] = []
         self.may_start = True
@@ -150,7 +150,7 @@
         self.billing = Service("billing", kind="plain", repeatable=repeatable)
         self.billing.most_running = 2
         self.count = items
-        self.saved: dict[int, Final] = {}
+        self.saved: dict[int, FinalResult] = {}
         self.zombies: list[Holder] = []
         self._attempts = itertools.count(1)
         self.holder: Holder
@@ -210,7 +210,7 @@
             holder.items.fill()
         await self.settle()
 
-    async def finish(self) -> dict[int, Final]:
+    async def finish(self) -> dict[int, FinalResult]:
         """End every call well until all items have ended; return how they did."""
         self.table.lose_next = self.table.drop_next = 0
         for _ in range(20 * self.count):
--- a/tests/plain/test_call_sweeper.py
+++ b/tests/plain/test_call_sweeper.py
@@ -7,7 +7,7 @@
 from caperridge.commands.plain_claims import claim_call, record_answer, release_call
 from caperridge.commands.sessions import open_session
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.plain_calls import DONE, KEPT_S, RUNNING, CallClaim
+from caperridge.decisions.plain_calls import DONE, KEY_RETENTION_S, RUNNING, CallClaim
 from caperridge.instance import call_sweeper
 from caperridge.instance.call_sweeper import CallSweeper
 
@@ -27,7 +27,9 @@
     for number in range(5):
         await recorded(memory, f"old{number}", ended=0.0)
         await recorded(memory, f"young{number}", ended=100.0)
-    return CallSweeper(memory, Membership("one", "oviedo"), lambda: KEPT_S + 50.0)
+    return CallSweeper(
+        memory, Membership("one", "oviedo"), lambda: KEY_RETENTION_S + 50.0
+    )
 
 
 async def test_only_old_calls_are_forgotten(memory, sweeper) -> None:
--- a/tests/plain/test_keyed_machine.py
+++ b/tests/plain/test_keyed_machine.py
@@ -30,7 +30,7 @@
     RUNNING,
     AnswerRecorded,
     CallClaim,
-    OtherCall,
+    KeyReused,
     OutcomeUnknown,
     StillRunning,
     on_resend,
@@ -114,14 +114,14 @@
         alive = done(holder_alive(self.platform, found)).ok_value
         action = on_resend(found, digest, alive, now=1.0)
         other = digest != self.digests_by_request[found.request]
-        assert isinstance(action, OtherCall) == other
-        if key in self.answers_by_key and not isinstance(action, OtherCall):
+        assert isinstance(action, KeyReused) == other
+        if key in self.answers_by_key and not isinstance(action, KeyReused):
             assert isinstance(action, AnswerRecorded)
             assert action.claim.body == self.answers_by_key[key]
         if isinstance(action, StillRunning):
             assert found.session not in self.dead_sessions
         assert isinstance(
-            action, AnswerRecorded | OtherCall | OutcomeUnknown | StillRunning
+            action, AnswerRecorded | KeyReused | OutcomeUnknown | StillRunning
         )
 
     @rule(target=ran, sender=consumes(claimed))
