--- a/src/caperridge/decisions/job_board.py
+++ b/src/caperridge/decisions/job_board.py
@@ -5,12 +5,12 @@
 from caperridge.decisions.rates import RateMeter
 from caperridge.records import Record
 
-AHEAD_S = 3.0
-MOST_IN_HAND = 4000
+CLAIM_AHEAD_S = 3.0
+MAX_IN_HAND_ITEMS = 4000
 NO_ROOM = "no target of this instance has room"
 
 
-class Want(Record):
+class ClaimQuota(Record):
     """How many items of a service to claim, and of which jobs first.
 
     Attributes:
@@ -31,7 +31,7 @@
         self.loads = loads
 
 
-class JobBoard:
+class OpenJobs:
     """Keeps the open jobs, their rest, why they wait, and the pace of each service.
 
     Args:
@@ -70,7 +70,7 @@
         self._remaining_by_job.pop(job_id, None)
         self._reasons_by_job.pop(job_id, None)
 
-    def claim_ended(
+    def record_claim_round(
         self,
         service: str,
         reasons_by_job: dict[str, str],
@@ -82,18 +82,18 @@
             if job.service == service:
                 self._reasons_by_job[job_id] = reasons_by_job.get(job_id, "")
 
-    def reason(self, job_id: str) -> str:
+    def wait_reason(self, job_id: str) -> str:
         """Return why nothing more of a job was claimed; empty if something was."""
         return self._reasons_by_job.get(job_id, "")
 
-    def want(
+    def claim_quota(
         self,
         service: str,
         room: int | None,
         in_hand_by_job: dict[str, int],
         now: float,
         wall: float,
-    ) -> Want | None:
+    ) -> ClaimQuota | None:
         """Return what to claim of a service; None for nothing.
 
         Args:
@@ -109,7 +109,7 @@
             self._all_wait(service, NO_ROOM)
             return None
         rate = self.meter(service).per_s(now)
-        ahead = min(MOST_IN_HAND, room + int(rate * AHEAD_S))
+        ahead = min(MAX_IN_HAND_ITEMS, room + int(rate * CLAIM_AHEAD_S))
         if room == 0 and in_hand >= ahead:
             self._all_wait(service, "")
             return None
@@ -120,8 +120,8 @@
             remaining = self._remaining_by_job.get(job.id, job.items)
             loads.append(JobLoad(job, in_hand_by_job.get(job.id, 0), remaining))
         ordered = order_jobs(loads, self._instance, rate, wall)
-        slots = max(1, min(in_hand, MOST_IN_HAND) + room)
-        return Want(max(room, ahead - in_hand), slots, rate, ordered)
+        slots = max(1, min(in_hand, MAX_IN_HAND_ITEMS) + room)
+        return ClaimQuota(max(room, ahead - in_hand), slots, rate, ordered)
 
     def _all_wait(self, service: str, reason: str) -> None:
         for job_id, job in self.jobs_by_id.items():
--- a/src/caperridge/decisions/job_order.py
+++ b/src/caperridge/decisions/job_order.py
@@ -6,7 +6,7 @@
 from caperridge.decisions.jobs import Job
 from caperridge.records import Record
 
-URGENT_SHARE = 0.15
+URGENT_SLACK_RATIO = 0.15
 
 
 class JobLoad(Record):
@@ -62,7 +62,7 @@
     def rank(load: JobLoad) -> tuple[float, ...]:
         window = max(1.0, load.job.due - load.job.created)
         slack = slack_s(load, items_per_s, now)
-        urgent = slack < URGENT_SHARE * window
+        urgent = slack < URGENT_SLACK_RATIO * window
         return (
             in_hand_by_caller[load.job.caller],
             slack if urgent else float("inf"),
--- a/src/caperridge/decisions/jobs.py
+++ b/src/caperridge/decisions/jobs.py
@@ -147,7 +147,7 @@
         self.faults = faults
 
 
-class SavedItems(Record):
+class CheckpointedItems(Record):
     """What an earlier holder of a chunk saved of its items.
 
     Attributes:
--- a/src/caperridge/instance/batch_messages.py
+++ b/src/caperridge/instance/batch_messages.py
@@ -1,8 +1,8 @@
 """The messages between the tasks that do batch work in one instance."""
 
 from caperridge.decisions.chunks import Chunk
-from caperridge.decisions.job_board import Want
-from caperridge.decisions.jobs import ChunkState, Job, SavedItems
+from caperridge.decisions.job_board import ClaimQuota
+from caperridge.decisions.jobs import CheckpointedItems, ChunkState, Job
 from caperridge.records import Record
 
 
@@ -34,7 +34,7 @@
     __slots__ = ("in_hand", "service", "session", "want")
 
     def __init__(
-        self, service: str, session: str, want: Want, in_hand: set[str]
+        self, service: str, session: str, want: ClaimQuota, in_hand: set[str]
     ) -> None:
         self.service = service
         self.session = session
@@ -63,7 +63,7 @@
         state: ChunkState,
         session: str,
         lines: list[bytes],
-        saved: SavedItems,
+        saved: CheckpointedItems,
     ) -> None:
         self.job = job
         self.chunk = chunk
--- a/src/caperridge/instance/chunk_work.py
+++ b/src/caperridge/instance/chunk_work.py
@@ -10,11 +10,11 @@
 from caperridge.commands.started_items import HeldChunk
 from caperridge.decisions.chunks import Chunk
 from caperridge.decisions.jobs import (
+    CheckpointedItems,
     ChunkState,
     ItemFaults,
     ItemResult,
     Job,
-    SavedItems,
 )
 from caperridge.instance.item_work import ItemWork, PlainItemWork
 from caperridge.instance.plain_item_calls import METHODS, PREFIX
@@ -75,7 +75,7 @@
         """The key of its row."""
         return chunk_key(self.chunk)
 
-    def add_items(self, lines: list[bytes], saved: SavedItems) -> None:
+    def add_items(self, lines: list[bytes], saved: CheckpointedItems) -> None:
         """Take the items; those with a saved result need not run again."""
         for index, line in enumerate(lines, self.chunk.start):
             result = saved.results_by_index.get(index)
--- a/src/caperridge/instance/claimer.py
+++ b/src/caperridge/instance/claimer.py
@@ -22,7 +22,7 @@
     TakeOver,
     plan_claims,
 )
-from caperridge.decisions.jobs import CLAIMED, Job, SavedItems
+from caperridge.decisions.jobs import CLAIMED, CheckpointedItems, Job
 from caperridge.instance.actor import Actor
 from caperridge.instance.batch_messages import (
     ChunkClaimed,
@@ -68,7 +68,7 @@
         job: Job,
         wanted: ClaimWanted,
         lines_by_start: dict[int, list[bytes]],
-        saved_by_start: dict[int, SavedItems],
+        saved_by_start: dict[int, CheckpointedItems],
     ) -> None:
         self.job = job
         self.wanted = wanted
@@ -215,7 +215,7 @@
                     cached.view.rows_by_start[chunk.start].state,
                     wanted.session,
                     claims.lines_by_start[chunk.start],
-                    claims.saved_by_start.get(chunk.start, SavedItems()),
+                    claims.saved_by_start.get(chunk.start, CheckpointedItems()),
                 )
             )
         return items
@@ -268,8 +268,10 @@
             lines_by_start[action.chunk.start] = lines.ok_value
         return Ok(lines_by_start)
 
-    async def _saved(self, actions: list[Action]) -> Result[dict[int, SavedItems], Any]:
-        saved_by_start: dict[int, SavedItems] = {}
+    async def _saved(
+        self, actions: list[Action]
+    ) -> Result[dict[int, CheckpointedItems], Any]:
+        saved_by_start: dict[int, CheckpointedItems] = {}
         for action in actions:
             if not isinstance(action, TakeOver):
                 continue
--- a/src/caperridge/instance/dispatcher.py
+++ b/src/caperridge/instance/dispatcher.py
@@ -17,7 +17,7 @@
     FailItem,
     after_failure,
 )
-from caperridge.decisions.job_board import JobBoard
+from caperridge.decisions.job_board import OpenJobs
 from caperridge.decisions.jobs import ItemFaults, ItemResult, Job
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.unserved import UnservedServices
@@ -94,7 +94,7 @@
         self._metrics = metrics
         self._clock = clock
         self._works_by_key: dict[str, ChunkWork] = {}
-        self._board = JobBoard(membership.instance)
+        self._board = OpenJobs(membership.instance)
         self._claiming: set[str] = set()
         self._finishing_by_key: dict[str, ChunkWork] = {}
         self._retries = ItemRetries()
@@ -192,7 +192,7 @@
     @handle.register
     async def _(self, message: ClaimEnded) -> None:
         self._claiming.discard(message.service)
-        self._board.claim_ended(
+        self._board.record_claim_round(
             message.service, message.reasons_by_job, message.remaining_by_job
         )
 
@@ -344,7 +344,7 @@
     def _want(self, service: str) -> None:
         if service in self._claiming:
             return
-        want = self._board.want(
+        want = self._board.claim_quota(
             service,
             self.streams.room(service),
             items_in_hand(self._works_by_key.values(), service),
@@ -385,7 +385,7 @@
             return "the platform is away"
         if self._session.left_s() <= 0:
             return "the lease of this instance has ended"
-        return self._board.reason(job_id)
+        return self._board.wait_reason(job_id)
 
     def state(self) -> dict[str, Any]:
         """Return the dispatcher's state for the dump."""
--- a/src/caperridge/instance/job_items.py
+++ b/src/caperridge/instance/job_items.py
@@ -7,7 +7,7 @@
 from caperridge import keys
 from caperridge.commands.accept_file import StoredFile
 from caperridge.decisions.chunks import Chunk
-from caperridge.decisions.jobs import Job, SavedItems
+from caperridge.decisions.jobs import CheckpointedItems, Job
 from caperridge.queries.jobs import read_file
 from caperridge.records import pack, unpack
 from caperridge.store.interface import NotDone, Platform, ReadError
@@ -48,12 +48,14 @@
             return Err(NotDone(f"{job.file} has other items than its row says"))
         return Ok(lines)
 
-    async def saved(self, session: str, chunk: Chunk) -> Result[SavedItems, ReadError]:
+    async def saved(
+        self, session: str, chunk: Chunk
+    ) -> Result[CheckpointedItems, ReadError]:
         """Return what ``session`` saved of the items of the chunk."""
         names = await self._platform.list_objects(keys.checkpoints(session))
         if isinstance(names, Err):
             return names
-        saved = SavedItems()
+        saved = CheckpointedItems()
         for name in names.ok_value:
             data = await self._platform.get_object(name)
             if isinstance(data, Err):
