--- a/src/caperridge/decisions/job_reads.py
+++ b/src/caperridge/decisions/job_reads.py
@@ -21,19 +21,19 @@
 
 from caperridge.records import Record
 
-POLL_S = 1.0
-SCAN_S = 30.0
-OWN_POLL_S = 20.0
-OWN_SCAN_S = 600.0
-QUIET_S = 6.0
-SHARE_S = 2.0
-HINT_S = 2.0
-SOON_S = 1.0
+POLL_INTERVAL_S = 1.0
+SCAN_INTERVAL_S = 30.0
+FALLBACK_POLL_INTERVAL_S = 20.0
+FALLBACK_SCAN_INTERVAL_S = 600.0
+READER_TIMEOUT_S = 6.0
+SHARE_INTERVAL_S = 2.0
+HINT_DELAY_S = 2.0
+MAX_CATCH_UP_DELAY_S = 1.0
 NO_DIGEST = 0
-JITTER = 0.25
+JITTER_RATIO = 0.25
 
 
-class Heard(enum.Enum):
+class UpdateKind(enum.Enum):
     """What news of a reader is worth."""
 
     NEW = "new"
@@ -58,7 +58,7 @@
         self.number = number
         self.changes = changes
 
-    def sound(self) -> bool:
+    def is_consistent(self) -> bool:
         """Return whether there are as many changes as the numbers say."""
         return 0 <= self.base == self.number - len(self.changes)
 
@@ -73,7 +73,7 @@
     return xxhash.xxh3_64_intdigest(text.encode()) or 1
 
 
-class JobReads:
+class JobReadSchedule:
     """What one instance knows of the changes, and when it reads next.
 
     Args:
@@ -93,14 +93,14 @@
         self._scan_share = 1.0
         self._shared_at = float("-inf")
 
-    def alone(self, now: float, reader: bool) -> bool:
+    def polls_as_reader(self, now: float, reader: bool) -> bool:
         """Return whether this instance has to read as a reader does."""
-        quiet = now - self._heard_at >= QUIET_S
+        quiet = now - self._heard_at >= READER_TIMEOUT_S
         return reader or self.number is None or quiet
 
     def poll_due(self, now: float, reader: bool) -> bool:
         """Return whether to poll the row of changes."""
-        if self.alone(now, reader) and now >= self._fast_at:
+        if self.polls_as_reader(now, reader) and now >= self._fast_at:
             return True
         if self._soon_at is not None and now >= self._soon_at:
             return True
@@ -110,33 +110,37 @@
         """Return whether a poll is to be followed by a scan of the open jobs."""
         if self._scan_wanted:
             return True
-        every_s = SCAN_S if self.alone(now, reader) else OWN_SCAN_S
+        every_s = (
+            SCAN_INTERVAL_S
+            if self.polls_as_reader(now, reader)
+            else FALLBACK_SCAN_INTERVAL_S
+        )
         return now - self._scanned_at >= every_s * self._scan_share
 
-    def hint(self, now: float, reader: bool) -> None:
+    def record_hint(self, now: float, reader: bool) -> None:
         """Note that something changed, as somebody says."""
         if reader or self.number is None:
             self._fast_at = now
             return
         # The reader was told too; its news comes first unless something is wrong.
-        self._read_by(now + HINT_S * self._draw())
+        self._read_by(now + HINT_DELAY_S * self._draw())
 
-    def tried(self, now: float) -> None:
+    def record_poll_sent(self, now: float) -> None:
         """Note that a poll was sent."""
-        self._fast_at = now + POLL_S * self._draw()
-        self._slow_at = now + OWN_POLL_S * self._draw()
+        self._fast_at = now + POLL_INTERVAL_S * self._draw()
+        self._slow_at = now + FALLBACK_POLL_INTERVAL_S * self._draw()
         self._soon_at = None
 
-    def failed(self, now: float) -> None:
+    def record_read_failed(self, now: float) -> None:
         """Note that a poll or scan failed; what was wanted soon still is."""
         if self._scan_wanted:
-            self._read_by(now + POLL_S * self._draw())
+            self._read_by(now + POLL_INTERVAL_S * self._draw())
 
-    def polled(self, number: int) -> None:
+    def record_poll(self, number: int) -> None:
         """Note that every change up to ``number`` was taken."""
         self.number = number
 
-    def scanned(self, now: float, number: int, open_ids: set[str]) -> None:
+    def record_scan(self, now: float, number: int, open_ids: set[str]) -> None:
         """Note a scan of the open jobs, sent when ``number`` was the newest change."""
         self.number = number
         self.open_ids = open_ids
@@ -146,47 +150,47 @@
 
     def share_due(self, now: float, news: bool) -> bool:
         """Return whether the reader is to tell its zone; if so, it is taken as told."""
-        if not news and now - self._shared_at < SHARE_S:
+        if not news and now - self._shared_at < SHARE_INTERVAL_S:
             return False
         self._shared_at = now
         return True
 
-    def heard(self, now: float, told: Changes) -> tuple[Heard, list[list[str]]]:
+    def receive(self, now: float, told: Changes) -> tuple[UpdateKind, list[list[str]]]:
         """Weigh a reader's news; return the changes that are new here.
 
         They count as taken: the caller acts on them, or calls :meth:`unread`.
         """
-        if self.number is None or not told.sound() or told.number < self.number:
+        if self.number is None or not told.is_consistent() or told.number < self.number:
             # What is older than what is known says nothing of how things are now.
-            return Heard.STALE, []
+            return UpdateKind.STALE, []
         if told.base > self.number:
             self._heard_at = now
-            self._read_by(now + SOON_S * self._random.random())
-            return Heard.GAP, []
+            self._read_by(now + MAX_CATCH_UP_DELAY_S * self._random.random())
+            return UpdateKind.GAP, []
         self._heard_at = now
         if told.number == self.number:
-            return Heard.SAME, []
+            return UpdateKind.SAME, []
         fresh = told.changes[self.number - told.base :]
         self.number = told.number
         if not self._scan_wanted:
             self._soon_at = None
-        return Heard.NEW, fresh
+        return UpdateKind.NEW, fresh
 
-    def compare(self, now: float, number: int, digest: int) -> None:
+    def compare_digest(self, now: float, number: int, digest: int) -> None:
         """Compare the open jobs with those that a reader found in its scan."""
         if digest == NO_DIGEST or number != self.number:
             return
         if digest != digest_of_jobs(self.open_ids):
-            self.unread(now)
+            self.schedule_scan(now)
 
-    def unread(self, now: float) -> None:
+    def schedule_scan(self, now: float) -> None:
         """Scan soon, as something is known to be missing."""
         self._scan_wanted = True
-        self._read_by(now + SOON_S * self._random.random())
+        self._read_by(now + MAX_CATCH_UP_DELAY_S * self._random.random())
 
     def _read_by(self, at: float) -> None:
         if self._soon_at is None or at < self._soon_at:
             self._soon_at = at
 
     def _draw(self) -> float:
-        return 1 + JITTER * (2 * self._random.random() - 1)
+        return 1 + JITTER_RATIO * (2 * self._random.random() - 1)
--- a/src/caperridge/instance/jobs_reader.py
+++ b/src/caperridge/instance/jobs_reader.py
@@ -10,8 +10,8 @@
 from caperridge.decisions.job_reads import (
     NO_DIGEST,
     Changes,
-    Heard,
-    JobReads,
+    JobReadSchedule,
+    UpdateKind,
     digest_of_jobs,
 )
 from caperridge.decisions.jobs import COMPLETED, OPEN, Job
@@ -58,7 +58,7 @@
         self._clock = clock
         self._tell = tell
         self._peers = peers or NoPeers()
-        self._reads = JobReads(random.Random(membership.instance))
+        self._reads = JobReadSchedule(random.Random(membership.instance))
         self._peers.register(JobsRead, lambda _, news: self.tell(news))
 
     @property
@@ -69,7 +69,7 @@
 
     def poll_soon(self) -> None:
         """Note that somebody says that there is news."""
-        self._reads.hint(self._clock(), self.is_reader)
+        self._reads.record_hint(self._clock(), self.is_reader)
 
     async def handle(self, message: Any) -> None:
         """Take what a reader of the zone found."""
@@ -80,16 +80,16 @@
             job = Job.from_map(fields)
             jobs_by_id[job.id] = job
         told = Changes(message.base, message.number, message.changes)
-        heard, changes = self._reads.heard(now, told)
-        if heard is Heard.STALE:
+        heard, changes = self._reads.receive(now, told)
+        if heard is UpdateKind.STALE:
             return
         self.known = True
         for subject, state in changes:
             if state == OPEN and subject not in jobs_by_id:
-                self._reads.unread(now)
+                self._reads.schedule_scan(now)
                 continue
             self._take(subject, state, jobs_by_id.get(subject))
-        self._reads.compare(now, message.number, message.digest)
+        self._reads.compare_digest(now, message.number, message.digest)
         if message.digest != NO_DIGEST:
             # A lapse that could not be announced is found as often as by a scan.
             self._tell(SessionsLapsed())
@@ -99,12 +99,12 @@
         now, reader = self._clock(), self.is_reader
         if not self._reads.poll_due(now, reader):
             return
-        self._reads.tried(now)
+        self._reads.record_poll_sent(now)
         before = self._reads.number
         read = await read_changes(self._platform, before)
         if isinstance(read, Err):
             self.known = False
-            self._reads.failed(self._clock())
+            self._reads.record_read_failed(self._clock())
             return
         self.known = True
         number, changes = read.ok_value
@@ -117,11 +117,11 @@
     async def _scan(self, number: int, reader: bool) -> None:
         jobs = await open_jobs(self._platform)
         if isinstance(jobs, Err):
-            self._reads.unread(self._clock())
+            self._reads.schedule_scan(self._clock())
             return
         # The number was read before the scan: what came between is seen twice.
         open_ids = {job.id for job in jobs.ok_value}
-        self._reads.scanned(self._clock(), number, open_ids)
+        self._reads.record_scan(self._clock(), number, open_ids)
         self._tell(JobsListed(jobs.ok_value))
         self._tell(SessionsLapsed())
         if not reader:
@@ -150,7 +150,7 @@
             shared.append([subject, state])
             if job is not None and state == OPEN:
                 jobs.append(job)
-        self._reads.polled(found.number)
+        self._reads.record_poll(found.number)
         if reader and self._reads.share_due(self._clock(), news=bool(shared)):
             news = JobsRead(found.number, found.base, shared, _bounded(jobs))
             self._peers.send_zone(news)
--- a/src/caperridge/measure/capacity.py
+++ b/src/caperridge/measure/capacity.py
@@ -11,10 +11,10 @@
 
 from caperridge.decisions.chunks import CHUNK_DURATION_S, LANE_ITEMS
 from caperridge.decisions.job_reads import (
-    OWN_POLL_S,
-    OWN_SCAN_S,
-    POLL_S,
-    SCAN_S,
+    FALLBACK_POLL_INTERVAL_S,
+    FALLBACK_SCAN_INTERVAL_S,
+    POLL_INTERVAL_S,
+    SCAN_INTERVAL_S,
 )
 from caperridge.decisions.leases import RENEWALS_A_LEASE
 from caperridge.instance.configuration import POLL_S as HEAD_POLL_S
@@ -298,16 +298,17 @@
             ZONES * watch_reads / watch_s,
         ),
         Load(
-            f"row of job changes polled every {POLL_S:g} s by a zone's reader, "
-            f"{OWN_POLL_S:g} s by others",
+            f"row of job changes polled every {POLL_INTERVAL_S:g} s "
+            f"by a zone's reader, {FALLBACK_POLL_INTERVAL_S:g} s by others",
             0.0,
-            ZONES / POLL_S + others / OWN_POLL_S,
+            ZONES / POLL_INTERVAL_S + others / FALLBACK_POLL_INTERVAL_S,
         ),
         Load(
-            f"open jobs scanned every {SCAN_S:g} s by a zone's reader, "
-            f"{OWN_SCAN_S:g} s by others",
+            f"open jobs scanned every {SCAN_INTERVAL_S:g} s by a zone's reader, "
+            f"{FALLBACK_SCAN_INTERVAL_S:g} s by others",
             0.0,
-            ZONES * (scan_reads + 1) / SCAN_S + others * scan_reads / OWN_SCAN_S,
+            ZONES * (scan_reads + 1) / SCAN_INTERVAL_S
+            + others * scan_reads / FALLBACK_SCAN_INTERVAL_S,
         ),
         Load(
             f"chunks of {chunk_items():.0f} items claimed, saved and committed",
--- a/tests/batch/test_job_reads.py
+++ b/tests/batch/test_job_reads.py
@@ -11,25 +11,25 @@
 from batch.reads_world import COUNT, TICK_S, ReadsWorld
 from caperridge.commands.announce_job import KEPT
 from caperridge.decisions.job_reads import (
-    JITTER,
-    OWN_POLL_S,
-    OWN_SCAN_S,
-    POLL_S,
-    QUIET_S,
-    SCAN_S,
-    SOON_S,
+    FALLBACK_POLL_INTERVAL_S,
+    FALLBACK_SCAN_INTERVAL_S,
+    JITTER_RATIO,
+    MAX_CATCH_UP_DELAY_S,
+    POLL_INTERVAL_S,
+    READER_TIMEOUT_S,
+    SCAN_INTERVAL_S,
     Changes,
-    Heard,
-    JobReads,
+    JobReadSchedule,
+    UpdateKind,
 )
 from caperridge.decisions.jobs import COMPLETED, OPEN
 from caperridge.instance import jobs_reader
 
-MOST = 1 + JITTER
-HEALTHY_S = POLL_S * MOST + 2 * TICK_S
-SILENT_S = QUIET_S + POLL_S * MOST + 3 * TICK_S
-WRONG_S = OWN_POLL_S * MOST + SOON_S + 2 * TICK_S
-UNTOLD_S = SCAN_S * MOST + SOON_S + HEALTHY_S + 2 * TICK_S
+MOST = 1 + JITTER_RATIO
+HEALTHY_S = POLL_INTERVAL_S * MOST + 2 * TICK_S
+SILENT_S = READER_TIMEOUT_S + POLL_INTERVAL_S * MOST + 3 * TICK_S
+WRONG_S = FALLBACK_POLL_INTERVAL_S * MOST + MAX_CATCH_UP_DELAY_S + 2 * TICK_S
+UNTOLD_S = SCAN_INTERVAL_S * MOST + MAX_CATCH_UP_DELAY_S + HEALTHY_S + 2 * TICK_S
 NODES = st.integers(0, COUNT - 1)
 
 
@@ -108,7 +108,10 @@
     assert 50 <= first.view.reads["read"] <= 110
     for node in others:
         assert node.view.reads["scan"] == 0
-        assert node.view.reads["read"] <= 60 / (OWN_POLL_S * (1 - JITTER)) + 1
+        assert (
+            node.view.reads["read"]
+            <= 60 / (FALLBACK_POLL_INTERVAL_S * (1 - JITTER_RATIO)) + 1
+        )
         assert node.open_ids == world.open_ids
 
 
@@ -121,7 +124,7 @@
     world.put("untold", OPEN, announced=False)
     world.advance(UNTOLD_S)
     world.check(UNTOLD_S)
-    assert UNTOLD_S < OWN_SCAN_S / 4
+    assert UNTOLD_S < FALLBACK_SCAN_INTERVAL_S / 4
 
 
 def test_a_wrong_reader_hides_what_was_not_announced_for_one_own_scan(
@@ -129,7 +132,7 @@
 ) -> None:
     freeze(world)
     world.put("untold", OPEN, announced=False)
-    bound_s = OWN_SCAN_S * MOST + WRONG_S
+    bound_s = FALLBACK_SCAN_INTERVAL_S * MOST + WRONG_S
     world.advance(bound_s)
     world.check(bound_s)
 
@@ -174,8 +177,8 @@
 ) -> None:
     monkeypatch.setattr(jobs_reader, "MOST_SHARED_BYTES", 0)
     world.put("j", OPEN)
-    world.advance(HEALTHY_S + SOON_S)
-    world.check(HEALTHY_S + SOON_S)
+    world.advance(HEALTHY_S + MAX_CATCH_UP_DELAY_S)
+    world.check(HEALTHY_S + MAX_CATCH_UP_DELAY_S)
 
 
 def test_later_news_does_not_put_off_reading_what_did_not_fit(
@@ -188,30 +191,34 @@
         world.put(name, state)
         world.nodes[0].reader.poll_soon()
         world.advance(TICK_S)
-    world.advance(SOON_S + TICK_S)
+    world.advance(MAX_CATCH_UP_DELAY_S + TICK_S)
     assert all(node.open_ids == {"new"} for node in world.nodes)
 
 
 @pytest.mark.parametrize(
     ("told", "heard", "fresh"),
     [
-        (Changes(5, 5, []), Heard.SAME, []),
-        (Changes(5, 7, [["f", "s"], ["g", "s"]]), Heard.NEW, [["f", "s"], ["g", "s"]]),
-        (Changes(4, 6, [["e", "s"], ["f", "s"]]), Heard.NEW, [["f", "s"]]),
-        (Changes(3, 5, [["d", "s"], ["e", "s"]]), Heard.SAME, []),
-        (Changes(4, 4, []), Heard.STALE, []),
-        (Changes(6, 7, [["g", "s"]]), Heard.GAP, []),
-        (Changes(5, 7, [["g", "s"]]), Heard.STALE, []),
-        (Changes(-1, 0, [["a", "s"]]), Heard.STALE, []),
+        (Changes(5, 5, []), UpdateKind.SAME, []),
+        (
+            Changes(5, 7, [["f", "s"], ["g", "s"]]),
+            UpdateKind.NEW,
+            [["f", "s"], ["g", "s"]],
+        ),
+        (Changes(4, 6, [["e", "s"], ["f", "s"]]), UpdateKind.NEW, [["f", "s"]]),
+        (Changes(3, 5, [["d", "s"], ["e", "s"]]), UpdateKind.SAME, []),
+        (Changes(4, 4, []), UpdateKind.STALE, []),
+        (Changes(6, 7, [["g", "s"]]), UpdateKind.GAP, []),
+        (Changes(5, 7, [["g", "s"]]), UpdateKind.STALE, []),
+        (Changes(-1, 0, [["a", "s"]]), UpdateKind.STALE, []),
     ],
 )
 def test_news_is_weighed_by_its_numbers(
-    told: Changes, heard: Heard, fresh: list[list[str]]
+    told: Changes, heard: UpdateKind, fresh: list[list[str]]
 ) -> None:
-    reads = JobReads(random.Random(1))
-    reads.polled(5)
-    assert reads.heard(0.0, told) == (heard, fresh)
-    assert reads.number == (told.number if heard is Heard.NEW else 5)
+    reads = JobReadSchedule(random.Random(1))
+    reads.record_poll(5)
+    assert reads.receive(0.0, told) == (heard, fresh)
+    assert reads.number == (told.number if heard is UpdateKind.NEW else 5)
 
 
 @pytest.mark.parametrize("number", [0, 1])
@@ -220,10 +227,12 @@
 ) -> None:
     node = world.nodes[number]
     node.view.cut = True
-    node.reader._reads.unread(world.now)
+    node.reader._reads.schedule_scan(world.now)
     node.view.reads.clear()
     world.advance(60.0)
-    assert 30 <= node.view.reads["read"] <= 60 / (POLL_S * (1 - JITTER)) + 2
+    assert (
+        30 <= node.view.reads["read"] <= 60 / (POLL_INTERVAL_S * (1 - JITTER_RATIO)) + 2
+    )
     world.put("j", OPEN, announced=False)
     world.heal(node)
     world.advance(HEALTHY_S)
