--- a/src/caperridge/decisions/leases.py
+++ b/src/caperridge/decisions/leases.py
@@ -8,10 +8,10 @@
 
 from caperridge.records import Record
 
-RENEWALS_A_LEASE = 2
-RETRY_S = 0.4
-MARGIN_SHARE = 0.2
-MOST_GAP_SHARE = 0.75
+RENEWALS_PER_LEASE = 2
+RENEWAL_RETRY_DELAY_S = 0.4
+LAPSE_MARGIN_RATIO = 0.2
+MAX_READ_GAP_RATIO = 0.75
 
 
 class Lease:
@@ -26,12 +26,14 @@
         self._until = float("-inf")
         self._renew_at = float("-inf")
 
-    def renewed(self, sent: float) -> None:
+    def record_renewal(self, sent: float) -> None:
         """Note that a renewal, sent at ``sent``, took effect."""
         self._until = sent + self.lease_s
-        self._renew_at = sent + self.lease_s / RENEWALS_A_LEASE
+        self._renew_at = sent + self.lease_s / RENEWALS_PER_LEASE
 
-    def not_renewed(self, now: float, retry_after_s: float, jitter: float) -> None:
+    def record_failed_renewal(
+        self, now: float, retry_after_s: float, jitter: float
+    ) -> None:
         """Note a renewal that did not or may not have taken effect.
 
         Args:
@@ -39,31 +41,33 @@
             retry_after_s: what the platform asked for; 0 for nothing.
             jitter: from 0 to 1, so that all holders do not come back together.
         """
-        self._renew_at = now + max(RETRY_S, retry_after_s) * (0.5 + jitter)
+        self._renew_at = now + max(RENEWAL_RETRY_DELAY_S, retry_after_s) * (
+            0.5 + jitter
+        )
 
-    def lost(self) -> None:
+    def mark_lost(self) -> None:
         """Note that the session was declared lapsed."""
         self._until = float("-inf")
         self._renew_at = float("-inf")
 
-    def due(self, now: float) -> bool:
+    def renewal_due(self, now: float) -> bool:
         """Return whether to renew."""
         return now >= self._renew_at
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return what is left; not above 0: none."""
         return self._until - now
 
 
-class SeenSession(Record):
+class WatchedSession(Record):
     """A session's row as watched: its version and since when it stands still."""
 
-    __slots__ = ("lease_s", "since", "version")
+    __slots__ = ("lease_s", "unchanged_since", "version")
 
-    def __init__(self, version: int, lease_s: float, since: float) -> None:
+    def __init__(self, version: int, lease_s: float, unchanged_since: float) -> None:
         self.version = version
         self.lease_s = lease_s
-        self.since = since
+        self.unchanged_since = unchanged_since
 
 
 class SessionWatch:
@@ -75,7 +79,7 @@
     """
 
     def __init__(self) -> None:
-        self._seen_by_id: dict[str, SeenSession] = {}
+        self._seen_by_id: dict[str, WatchedSession] = {}
         self._read_at = float("-inf")
 
     def observe(
@@ -91,16 +95,16 @@
         gap = after - self._read_at
         self._read_at = before
         lapsed: dict[str, int] = {}
-        seen_by_id: dict[str, SeenSession] = {}
+        seen_by_id: dict[str, WatchedSession] = {}
         for session_id, (version, lease_s) in rows.items():
             seen = self._seen_by_id.get(session_id)
             fresh = seen is None or seen.version != version
-            if fresh or gap > lease_s * MOST_GAP_SHARE:
+            if fresh or gap > lease_s * MAX_READ_GAP_RATIO:
                 # From the answer, not the question: the row may be older than that.
-                seen_by_id[session_id] = SeenSession(version, lease_s, after)
+                seen_by_id[session_id] = WatchedSession(version, lease_s, after)
                 continue
             seen_by_id[session_id] = seen
-            if before - seen.since >= lease_s * (1 + MARGIN_SHARE):
+            if before - seen.unchanged_since >= lease_s * (1 + LAPSE_MARGIN_RATIO):
                 lapsed[session_id] = version
         self._seen_by_id = seen_by_id
         return lapsed
--- a/src/caperridge/decisions/order_leases.py
+++ b/src/caperridge/decisions/order_leases.py
@@ -10,7 +10,7 @@
 from caperridge.records import Record
 
 ALIVE = "alive"
-CLOCK_MARGIN = 0.05  # share of a lease by which clocks may run apart
+CLOCK_DRIFT_RATIO = 0.05  # share of a lease by which clocks may run apart
 
 
 class OrderRow(Record):
@@ -24,7 +24,7 @@
         self.lease_s = lease_s
 
 
-class SessionSeen(Record):
+class SessionRow(Record):
     """A session's row as read; ``state`` is empty if there is none."""
 
     __slots__ = ("state", "version")
@@ -94,7 +94,7 @@
         return bool(session) and self.session == session
 
     def decide(
-        self, row: OrderRow | None, holder: SessionSeen, own_session: str, now: float
+        self, row: OrderRow | None, holder: SessionRow, own_session: str, now: float
     ) -> Decision:
         """Return what to do about a target that this instance should order.
 
@@ -111,7 +111,7 @@
         if not self._unrenewed(row.holder, holder):
             self._since = now
         self._watched, self._seen_version = row.holder, holder.version
-        over = self._since + row.lease_s * (1 + CLOCK_MARGIN)
+        over = self._since + row.lease_s * (1 + CLOCK_DRIFT_RATIO)
         if holder.state == ALIVE:
             if now < over:
                 return Wait()
@@ -120,7 +120,7 @@
         # says otherwise; only a number that the target checks makes up for that.
         return TakeOver(row.fence + 1, now if self.checks_fencing else over)
 
-    def _unrenewed(self, session: str, seen: SessionSeen) -> bool:
+    def _unrenewed(self, session: str, seen: SessionRow) -> bool:
         """Return whether the holder cannot have renewed since the last look."""
         if session != self._watched:
             return False
@@ -129,14 +129,14 @@
         # The write that ended the session raised its row's version once.
         return seen.state != ALIVE and seen.version == self._seen_version + 1
 
-    def taken(self, session: str, taken: TakeOver) -> None:
+    def record_takeover(self, session: str, taken: TakeOver) -> None:
         """Note that the row is written."""
         self.session = session
         self.fence = taken.fence
         self._not_before = taken.not_before
         self._watched = ""
 
-    def lost(self) -> None:
+    def mark_lost(self) -> None:
         """Note that the target is not held, or no longer."""
         self.session = ""
 
--- a/src/caperridge/instance/orderer.py
+++ b/src/caperridge/instance/orderer.py
@@ -218,7 +218,7 @@
             return
         observed = seen.ok_value
         if observed.fence > ordered.lease.fence:
-            ordered.lease.lost()
+            ordered.lease.mark_lost()
             return
         desired = self._desired(ordered.member, service)
         step = next_step(observed, desired)
@@ -275,7 +275,7 @@
         taken = await take_target(self._platform, target_id, seen.row, row)
         if isinstance(taken, Err):
             return False
-        ordered.lease.taken(session_id, decision)
+        ordered.lease.record_takeover(session_id, decision)
         log.info("target taken", target=target_id, fence=decision.fence)
         return True
 
@@ -338,7 +338,7 @@
         told = await self._client.order(address, lease.fence, desired, gb)
         if isinstance(told, Err) and isinstance(told.err_value, OldFence):
             log.warning("order refused", target=ordered.member.id, fence=lease.fence)
-            lease.lost()
+            lease.mark_lost()
             return
         ordered.why = "it was told"
         log.info("target told", target=ordered.member.id, fence=lease.fence)
--- a/src/caperridge/instance/session.py
+++ b/src/caperridge/instance/session.py
@@ -51,7 +51,7 @@
 
     def left_s(self) -> float:
         """Return how much of the lease is left, in seconds; not above 0: none."""
-        return self._lease.left_s(self._clock())
+        return self._lease.remaining_s(self._clock())
 
     def holds(self, session_id: str) -> bool:
         """Return whether ``session_id`` is the own session and its lease lasts."""
@@ -60,7 +60,7 @@
     async def idle(self) -> None:
         """Renew when due, or open a new session where the old one is gone."""
         sent = self._clock()
-        if self._closed or not self._lease.due(sent):
+        if self._closed or not self._lease.renewal_due(sent):
             return
         if not self.session_id:
             await self._open(sent)
@@ -73,12 +73,12 @@
             self.configuration_version(),
         )
         if isinstance(outcome, Ok):
-            self._lease.renewed(sent)
+            self._lease.record_renewal(sent)
             return
         if isinstance(outcome.err_value, Conflict):
             log.warning("the session was declared lapsed", session=self.session_id)
             self.session_id = ""
-            self._lease.lost()
+            self._lease.mark_lost()
             return
         self._not_renewed(outcome.err_value)
 
@@ -91,17 +91,17 @@
             self._not_renewed(outcome.err_value)
             return
         self.session_id = session_id
-        self._lease.renewed(sent)
+        self._lease.record_renewal(sent)
 
     def _not_renewed(self, error: WriteError) -> None:
         retry_after_s = error.retry_after_s if isinstance(error, NotDone) else 0.0
         jitter = self._random.random()
-        self._lease.not_renewed(self._clock(), retry_after_s, jitter)
+        self._lease.record_failed_renewal(self._clock(), retry_after_s, jitter)
 
     async def close(self) -> None:
         """End the session, so that what it still claims is free at once."""
         self._closed = True
         session_id, self.session_id = self.session_id, ""
-        self._lease.lost()
+        self._lease.mark_lost()
         if session_id:
             await close_session(self._platform, session_id)
--- a/src/caperridge/measure/capacity.py
+++ b/src/caperridge/measure/capacity.py
@@ -16,7 +16,7 @@
     POLL_INTERVAL_S,
     SCAN_INTERVAL_S,
 )
-from caperridge.decisions.leases import RENEWALS_A_LEASE
+from caperridge.decisions.leases import RENEWALS_PER_LEASE
 from caperridge.instance.configuration import POLL_S as HEAD_POLL_S
 from caperridge.instance.configuration import READER_POLL_S
 from caperridge.instance.orderer import LOOK_S
@@ -282,7 +282,7 @@
 
 def steady(recorded: Recorded) -> list[Load]:
     """Return the platform's load by mechanism on an ordinary second."""
-    renewal_s = LEASE_S / RENEWALS_A_LEASE
+    renewal_s = LEASE_S / RENEWALS_PER_LEASE
     watch_s = LEASE_S / WATCHES_A_LEASE
     scan_reads = math.ceil(JOBS_A_DAY / ROWS_A_READ)
     watch_reads = math.ceil(INSTANCES / ROWS_A_READ)
--- a/src/caperridge/queries/orders.py
+++ b/src/caperridge/queries/orders.py
@@ -4,7 +4,7 @@
 
 from caperridge import keys
 from caperridge.decisions.load_pacing import Load, loads_of
-from caperridge.decisions.order_leases import OrderRow, SessionSeen
+from caperridge.decisions.order_leases import OrderRow, SessionRow
 from caperridge.records import Record
 from caperridge.store.interface import Platform, ReadError, Row
 
@@ -15,7 +15,7 @@
     __slots__ = ("holder", "order", "row")
 
     def __init__(
-        self, row: Row | None, order: OrderRow | None, holder: SessionSeen
+        self, row: Row | None, order: OrderRow | None, holder: SessionRow
     ) -> None:
         self.row = row
         self.order = order
@@ -30,18 +30,18 @@
         return found
     row = found.ok_value.get(key)
     if row is None:
-        return Ok(OrderSeen(None, None, SessionSeen()))
+        return Ok(OrderSeen(None, None, SessionRow()))
     order = OrderRow.from_map(row.value)
     if not order.holder:
-        return Ok(OrderSeen(row, order, SessionSeen()))
+        return Ok(OrderSeen(row, order, SessionRow()))
     session_key = keys.session(order.holder)
     sessions = await platform.read([session_key])
     if isinstance(sessions, Err):
         return sessions
     session = sessions.ok_value.get(session_key)
-    holder = SessionSeen()
+    holder = SessionRow()
     if session is not None:
-        holder = SessionSeen(session.value["state"], session.version)
+        holder = SessionRow(session.value["state"], session.version)
     return Ok(OrderSeen(row, order, holder))
 
 
--- a/tests/batch/batch_world.py
+++ b/tests/batch/batch_world.py
@@ -91,7 +91,7 @@
         return outcome
 
     def renew(self, node: Node) -> None:
-        if node.paused or not node.lease.due(self.now):
+        if node.paused or not node.lease.renewal_due(self.now):
             return
         if not node.session:
             self.starts += 1
@@ -99,7 +99,7 @@
             opened = sessions.open_session(self.platform, name, node.name, LEASE_S)
             if isinstance(self.do(opened), Ok):
                 node.session = name
-                node.lease.renewed(self.now)
+                node.lease.record_renewal(self.now)
                 node.held_by_key.clear()
             return
         node.renewals += 1
@@ -107,12 +107,12 @@
             sessions.renew_session(self.platform, node.session, node.renewals)
         )
         if isinstance(outcome, Ok):
-            node.lease.renewed(self.now)
+            node.lease.record_renewal(self.now)
         elif isinstance(outcome.err_value, Conflict):
             node.session = ""
-            node.lease.lost()
+            node.lease.mark_lost()
         else:
-            node.lease.not_renewed(self.now, 0.0, 0.5)
+            node.lease.record_failed_renewal(self.now, 0.0, 0.5)
 
     def observe(self, node: Node) -> None:
         rows = self.do(scan_all(self.platform, keys.SESSIONS))
@@ -127,7 +127,7 @@
             for other in self.nodes:
                 # Nobody who still believes in its lease may be declared lapsed.
                 if other.session == name:
-                    assert other.lease.left_s(self.now) <= 0
+                    assert other.lease.remaining_s(self.now) <= 0
             self.do(sessions.lapse_session(self.platform, name, version))
 
     def claim(self, node: Node, size: int, stale: bool = False) -> bool:
@@ -135,7 +135,7 @@
 
         A stale claim is only planned now, and made with :meth:`claim_planned`.
         """
-        if node.paused or node.lease.left_s(self.now) <= 0:
+        if node.paused or node.lease.remaining_s(self.now) <= 0:
             return False
         jobs = self.do(open_jobs(self.platform))
         if isinstance(jobs, Err):
--- a/tests/batch/test_batch_decisions.py
+++ b/tests/batch/test_batch_decisions.py
@@ -17,16 +17,16 @@
 
 def test_the_holder_counts_from_before_the_renewal_was_sent() -> None:
     lease = Lease(10.0)
-    lease.renewed(sent=100.0)
-    assert (lease.left_s(109.0), lease.left_s(110.0)) == (1.0, 0.0)
-    assert (lease.due(104.9), lease.due(105.0)) == (False, True)
+    lease.record_renewal(sent=100.0)
+    assert (lease.remaining_s(109.0), lease.remaining_s(110.0)) == (1.0, 0.0)
+    assert (lease.renewal_due(104.9), lease.renewal_due(105.0)) == (False, True)
 
 
 def test_a_throttled_renewal_comes_back_when_asked_to() -> None:
     lease = Lease(10.0)
-    lease.renewed(sent=100.0)
-    lease.not_renewed(105.0, retry_after_s=2.0, jitter=0.5)
-    assert (lease.due(106.9), lease.due(107.0)) == (False, True)
+    lease.record_renewal(sent=100.0)
+    lease.record_failed_renewal(105.0, retry_after_s=2.0, jitter=0.5)
+    assert (lease.renewal_due(106.9), lease.renewal_due(107.0)) == (False, True)
 
 
 @pytest.mark.parametrize(
--- a/tests/batch/test_batch_machine.py
+++ b/tests/batch/test_batch_machine.py
@@ -83,7 +83,7 @@
     @rule(node=NODES)
     def run_and_commit(self, node: int) -> None:
         chosen = self.world.nodes[node]
-        if chosen.paused or chosen.lease.left_s(self.world.now) <= 0:
+        if chosen.paused or chosen.lease.remaining_s(self.world.now) <= 0:
             return
         for held in list(chosen.held_by_key.values()):
             if len(held.done) < held.chunk.items:
--- a/tests/batch/test_session_watcher.py
+++ b/tests/batch/test_session_watcher.py
@@ -8,13 +8,13 @@
 from batch.reads_world import ReadsWorld
 from caperridge import keys
 from caperridge.commands.sessions import ALIVE, LAPSED, open_session, renew_session
-from caperridge.decisions.leases import MARGIN_SHARE
+from caperridge.decisions.leases import LAPSE_MARGIN_RATIO
 from caperridge.instance.session_watcher import SessionWatcher
 from caperridge.peers.messages import SessionsWatched
 
 LEASE_S = 10.0
 LOOK_S = LEASE_S / 4
-LAPSES_S = LEASE_S * (1 + MARGIN_SHARE) + 2 * LOOK_S
+LAPSES_S = LEASE_S * (1 + LAPSE_MARGIN_RATIO) + 2 * LOOK_S
 UNWATCHED_S = LEASE_S + LOOK_S
 
 
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -11,7 +11,7 @@
     DeclareLapsed,
     OrderLease,
     OrderRow,
-    SessionSeen,
+    SessionRow,
     TakeOver,
     Wait,
 )
@@ -33,7 +33,7 @@
 NORTH_2 = Loaded("north", "2", ["billing"])
 BARE_1 = Loaded("north", "1")
 BATCH_1 = Loaded("north", "1", ["billing"], BATCH)
-ALIVE = SessionSeen("alive", 3)
+ALIVE = SessionRow("alive", 3)
 
 
 @pytest.mark.parametrize(
@@ -84,10 +84,10 @@
 def test_a_target_that_checks_nothing_is_waited_for(state: str, checks: bool) -> None:
     lease = OrderLease(checks)
     row = OrderRow("other", 7, LEASE_S)
-    taken = lease.decide(row, SessionSeen(state, 4), "own", 50.0)
+    taken = lease.decide(row, SessionRow(state, 4), "own", 50.0)
     assert isinstance(taken, TakeOver)
     assert taken.fence == 8
-    lease.taken("own", taken)
+    lease.record_takeover("own", taken)
     assert lease.may_order("own", 5.0, 2.0, 50.0) is checks
     assert lease.may_order("own", 5.0, 2.0, 50.0 + LEASE_S * 1.1)
     assert not lease.may_order("own", 1.0, 2.0, 50.0 + LEASE_S * 1.1)
@@ -98,7 +98,7 @@
     lease = OrderLease()
     row = OrderRow("other", 7, LEASE_S)
     assert lease.decide(row, ALIVE, "own", 0.0) == Wait()
-    renewed = SessionSeen("alive", 4)
+    renewed = SessionRow("alive", 4)
     assert lease.decide(row, renewed, "own", 9.0) == Wait()
     assert lease.decide(row, renewed, "own", 18.0) == Wait()
     assert lease.decide(row, renewed, "own", 20.0) == DeclareLapsed("other", 4)
@@ -108,13 +108,13 @@
     lease = OrderLease(checks_fencing=False)
     row = OrderRow("other", 7, LEASE_S)
     lease.decide(row, ALIVE, "own", 0.0)
-    taken = lease.decide(row, SessionSeen("closed", 5), "own", 9.0)
+    taken = lease.decide(row, SessionRow("closed", 5), "own", 9.0)
     assert taken == TakeOver(8, 9.0 + LEASE_S * 1.05)
 
 
 @pytest.mark.parametrize("row", [None, OrderRow("", 3, LEASE_S)])
 def test_a_target_that_nobody_holds_is_ordered_at_once(row: OrderRow | None) -> None:
-    taken = OrderLease(False).decide(row, SessionSeen(), "own", 5.0)
+    taken = OrderLease(False).decide(row, SessionRow(), "own", 5.0)
     assert taken == TakeOver(row.fence + 1 if row else 1, 5.0)
 
 
