--- a/src/caperridge/decisions/headroom.py
+++ b/src/caperridge/decisions/headroom.py
@@ -9,7 +9,7 @@
 import math
 from typing import Any
 
-from caperridge.decisions.batch_share import most_streams
+from caperridge.decisions.batch_share import max_streams
 from caperridge.decisions.preemption import BatchStream, first_to_go
 from caperridge.decisions.runner_headroom import PEERS_KEEP_S, RunnerHeadroom
 from caperridge.records import Record
@@ -115,7 +115,7 @@
         line = runner.steps.line(now)
         if line is not None:
             step_s = line.at(runner.online(now))
-            runner.guard.seen(first_token_s, step_s, now)
+            runner.guard.record_first_token(first_token_s, step_s, now)
 
     def reaction_seen(self, target: str, reaction_s: float) -> None:
         """Note how long it took until a preempted slot was free."""
@@ -222,7 +222,7 @@
                 "most_arrivals": runner.burst.most_arrivals(now),
                 "tail_online": runner.burst.tail_online(now),
                 "step": None if line is None else line.to_map(),
-                "taken_by_guard": runner.guard.taken(now),
+                "taken_by_guard": runner.guard.withheld_streams(now),
                 "reaction_ms": round(runner.reaction_s * 1000, 2),
                 "settled": self._settled(runner, now),
             }
@@ -246,10 +246,10 @@
         if runner.peers_send(now):
             arrivals = runner.burst.most_arrivals(now)
             reserve = _reserve(arrivals, most_running, batch_weight)
-        full = most_running - reserve - runner.guard.taken(now)
+        full = most_running - reserve - runner.guard.withheld_streams(now)
         tail = runner.burst.tail_online(now)
         line = runner.steps.line(now)
-        noticed = most_streams(line, tail, most_running, batch_weight)
+        noticed = max_streams(line, tail, most_running, batch_weight)
         return max(0, int(min(full, noticed)) - online)
 
 
--- a/src/caperridge/decisions/own_targets.py
+++ b/src/caperridge/decisions/own_targets.py
@@ -16,17 +16,17 @@
 class OwnershipChanges(Record):
     """Targets that came to this instance or went from it, and peers that went."""
 
-    __slots__ = ("gained", "lost", "peers_gone")
+    __slots__ = ("gained", "lost", "removed_peers")
 
     def __init__(
         self,
         gained: list[str] | None = None,
         lost: list[str] | None = None,
-        peers_gone: list[str] | None = None,
+        removed_peers: list[str] | None = None,
     ) -> None:
         self.gained = gained or []
         self.lost = lost or []
-        self.peers_gone = peers_gone or []
+        self.removed_peers = removed_peers or []
 
 
 class OwnTargets:
@@ -48,7 +48,7 @@
         self._alone = True
 
     @property
-    def alone(self) -> bool:
+    def is_only_instance(self) -> bool:
         """Whether no other instance is live, here or in another zone."""
         return self._alone
 
--- a/src/caperridge/decisions/progress.py
+++ b/src/caperridge/decisions/progress.py
@@ -9,7 +9,7 @@
     timed_out,
 )
 
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 
 
 class Stop(Record):
@@ -40,12 +40,12 @@
     __slots__ = (
         "alone",
         "attempts",
-        "began",
         "excluded",
-        "given_up_early",
         "last_event",
         "may_have_run",
         "offset",
+        "streaming",
+        "timed_out_early",
     )
 
     def __init__(self, offset: int = 0) -> None:
@@ -53,9 +53,9 @@
         self.alone = False
         self.attempts = 0
         self.excluded: set[str] = set()
-        self.given_up_early: set[str] = set()
+        self.timed_out_early: set[str] = set()
         self.may_have_run = False
-        self.began = False
+        self.streaming = False
         self.last_event = b""
 
     @property
@@ -63,13 +63,15 @@
         """The ``run`` word of a refusal now."""
         return UNKNOWN if self.may_have_run else NOT_RUN
 
-    def advanced(self, events: list[bytes]) -> None:
+    def record_tokens(self, events: list[bytes]) -> None:
         """Note tokens that go to the caller."""
         self.offset += len(events)
-        self.began = True
+        self.streaming = True
         self.last_event = events[-1]
 
-    def failed(self, target: str, error: AttemptError, believes_not_run: bool) -> None:
+    def record_failure(
+        self, target: str, error: AttemptError, believes_not_run: bool
+    ) -> None:
         """Note a failed attempt.
 
         Args:
@@ -80,26 +82,26 @@
         self.attempts += 1
         self.excluded.add(target)
         if timed_out(error) and not self.alone:
-            self.given_up_early.add(target)
+            self.timed_out_early.add(target)
         if isinstance(error, NotSent):
             return
         said_not_run = isinstance(error, TargetRefused) and error.run == NOT_RUN
-        if said_not_run and believes_not_run and not self.began:
+        if said_not_run and believes_not_run and not self.streaming:
             return
         self.may_have_run = True
 
-    def reconsider(self) -> bool:
+    def readmit_timed_out(self) -> bool:
         """Allow targets that were given up early once more; False if there are none.
 
         They may only have been slower than the limit that holds while another target
         can be tried. Without another they get the patience of a last resort.
         """
-        reconsidered = bool(self.given_up_early)
-        self.excluded -= self.given_up_early
-        self.given_up_early.clear()
+        reconsidered = bool(self.timed_out_early)
+        self.excluded -= self.timed_out_early
+        self.timed_out_early.clear()
         return reconsidered
 
-    def stop(
+    def stop_reason(
         self, error: AttemptError, repeatable: bool, deadline: float, now: float
     ) -> Stop | None:
         """Return why the request must end after ``error``; None if it may go on."""
@@ -108,10 +110,10 @@
             return Stop("target_refused", reason, error.status)
         if self.may_have_run and not repeatable:
             return Stop("answer_lost", reason, 502)
-        if not self.began and now >= deadline:
+        if not self.streaming and now >= deadline:
             text = f"its deadline passed; last: {reason}"
             return Stop("deadline_passed", text, 504)
-        if self.attempts < MOST_ATTEMPTS:
+        if self.attempts < MAX_ATTEMPTS:
             return None
         if self.may_have_run:
             text = f"{self.attempts} targets failed; last: {reason}"
--- a/src/caperridge/instance/attempts.py
+++ b/src/caperridge/instance/attempts.py
@@ -95,7 +95,7 @@
         while True:
             self._held.check(request, progress.run)
             self._check_candidates(request, progress)
-            if not progress.began:
+            if not progress.streaming:
                 # A retry under overload waits for room like any other request.
                 await self._enter(request, progress)
             try:
@@ -103,7 +103,7 @@
                 self._book.started(target, request.blocks, self._clock())
                 self._tell_load(target)
             finally:
-                if not progress.began:
+                if not progress.streaming:
                     self._gate.started(
                         request.service.name, request.service.most_running
                     )
@@ -140,7 +140,9 @@
         name, now = request.service.name, self._clock()
         if self._book.usable(name, progress.excluded, now):
             return
-        if progress.reconsider() and self._book.usable(name, progress.excluded, now):
+        if progress.readmit_timed_out() and self._book.usable(
+            name, progress.excluded, now
+        ):
             request.trace.add("reconsidered", "no target is left that did not fail it")
             return
         raise self._no_target(request, progress)
@@ -168,7 +170,7 @@
         error: AttemptError,
     ) -> None:
         """Raise the final refusal if there must not be another attempt."""
-        stop = progress.stop(
+        stop = progress.stop_reason(
             error, request.service.repeatable, request.deadline, self._clock()
         )
         if stop is not None:
@@ -178,7 +180,7 @@
             )
         if isinstance(error, NotSent):
             return  # it cost no target anything
-        if policy.budget.take(progress.began):
+        if policy.budget.take(progress.streaming):
             return
         self._metrics.budget_spent.labels(request.service.name).inc()
         text = f"too many retries in this service; last: {error.reason}"
@@ -241,7 +243,7 @@
                 progress.alone,
             )
         latest_s = math.inf
-        if not progress.began:
+        if not progress.streaming:
             left_s = request.deadline - self._clock()
             latest_s = max(LEAST_FIRST_S, left_s)
             limits.first_s = max(LEAST_FIRST_S, min(limits.first_s, left_s))
@@ -273,7 +275,7 @@
                     now = self._clock()
                     watch.events(len(events), now)
                     self._book.heard(target, now)
-                    progress.advanced(events)
+                    progress.record_tokens(events)
                     yield events
                     watch.resumed(self._clock())
             whole = True
@@ -312,7 +314,7 @@
     ) -> None:
         kind = type(error).__name__
         service = request.service
-        progress.failed(target, error, service.believes_not_run)
+        progress.record_failure(target, error, service.believes_not_run)
         self._metrics.attempts.labels(service.name, kind).inc()
         out_s = self._book.failed(target, error, self._clock())
         if out_s:
--- a/src/caperridge/instance/batch_streams.py
+++ b/src/caperridge/instance/batch_streams.py
@@ -192,14 +192,14 @@
             return
         self._owners_due = now + OWNERS_EVERY_S
         self._absent.ask(self._own_addresses())
-        alone = self.own.alone
+        alone = self.own.is_only_instance
         changes = self.own.refresh(self.book.states_by_id)
-        for peer in changes.peers_gone:
+        for peer in changes.removed_peers:
             self.headroom.sender_gone(peer)
-        if alone != self.own.alone:
-            self.headroom.peers_changed(self.own.alone)
+        if alone != self.own.is_only_instance:
+            self.headroom.peers_changed(self.own.is_only_instance)
         for target in changes.gained:
-            self.headroom.gained(target, now, self.own.alone)
+            self.headroom.gained(target, now, self.own.is_only_instance)
         for target in changes.lost:
             self.headroom.lost(target)
             self._requeue_all(target)
--- a/tests/headroom/test_headroom.py
+++ b/tests/headroom/test_headroom.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from caperridge.decisions.batch_share import GUARD_MOST, FirstTokenGuard
+from caperridge.decisions.batch_share import MAX_GUARD_PENALTY_STREAMS, FirstTokenGuard
 from caperridge.decisions.headroom import PEERS_KEEP_S, SETTLE_S, Headroom
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.own_targets import OwnTargets
@@ -192,13 +192,13 @@
 
 def test_late_first_tokens_take_places_from_batch_and_time_gives_them_back() -> None:
     guard = FirstTokenGuard()
-    guard.seen(0.05, STEP_S, 0.0)
-    guard.seen(0.06, STEP_S, 0.0)
-    assert guard.taken(0.0) == 0
+    guard.record_first_token(0.05, STEP_S, 0.0)
+    guard.record_first_token(0.06, STEP_S, 0.0)
+    assert guard.withheld_streams(0.0) == 0
     for _ in range(20):
-        guard.seen(0.05 + 10 * STEP_S, STEP_S, 1.0)
-    assert 2 <= guard.taken(1.0) <= GUARD_MOST
-    assert guard.taken(100.0) == 0
+        guard.record_first_token(0.05 + 10 * STEP_S, STEP_S, 1.0)
+    assert 2 <= guard.withheld_streams(1.0) <= MAX_GUARD_PENALTY_STREAMS
+    assert guard.withheld_streams(100.0) == 0
 
 
 def test_own_targets_follow_the_live_instances() -> None:
@@ -213,10 +213,10 @@
     changes = owns[0].refresh(states_by_id)
     owns[1].refresh(states_by_id)
     assert changes.lost
-    assert not owns[0].alone
+    assert not owns[0].is_only_instance
     for target in states_by_id:
         assert owns[0].owns(target) != owns[1].owns(target)
     memberships[0].apply_list(peers[:1])
     changes = owns[0].refresh(states_by_id)
-    assert changes.peers_gone == ["e2"]
+    assert changes.removed_peers == ["e2"]
     assert set(changes.gained) == {t for t in states_by_id if owns[1].owns(t)}
--- a/tests/headroom/test_step_time.py
+++ b/tests/headroom/test_step_time.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from caperridge.decisions.batch_share import most_streams, tail_alone
+from caperridge.decisions.batch_share import max_streams, tail_without_batch
 from caperridge.decisions.step_time import Line, StepTime
 
 
@@ -72,5 +72,5 @@
     tail_online: int, base_s: float
 ) -> None:
     line = Line(base_s, 0.001)
-    assert 0 <= tail_alone(line, tail_online, 24) <= tail_online
-    assert most_streams(line, tail_online, 24, 0.5) >= 0
+    assert 0 <= tail_without_batch(line, tail_online, 24) <= tail_online
+    assert max_streams(line, tail_online, 24, 0.5) >= 0
--- a/tests/online/test_policy_machine.py
+++ b/tests/online/test_policy_machine.py
@@ -21,7 +21,7 @@
 from caperridge.decisions.fair_queue import FairQueue, Waiting
 from caperridge.decisions.limit_share import Seat
 from caperridge.decisions.limits import BURST_S, Limits
-from caperridge.decisions.progress import MOST_ATTEMPTS, Progress
+from caperridge.decisions.progress import MAX_ATTEMPTS, Progress
 from caperridge.decisions.routing import TargetBook
 from caperridge.decisions.target_state import TargetReport, Wanted
 from caperridge.refusals import NOT_RUN
@@ -143,7 +143,7 @@
 
     def start(self, request: Running) -> None:
         request.attempts += 1
-        assert request.attempts <= MOST_ATTEMPTS
+        assert request.attempts <= MAX_ATTEMPTS
         weighed = self.book.choose(
             "chat",
             request.progress.excluded,
@@ -207,10 +207,10 @@
         self.book.ended(request.target)
         if self.book.failed(request.target, error, self.now):
             self.check_floor()
-        request.progress.failed(request.target, error, believes_not_run=True)
+        request.progress.record_failure(request.target, error, believes_not_run=True)
         if isinstance(error, TargetRefused) and error.leaving:
             self.leaves(request.target)
-        stop = request.progress.stop(
+        stop = request.progress.stop_reason(
             error, request.repeatable, request.deadline, self.now
         )
         if stop is not None:
