--- a/src/caperridge/commands/accept_file.py
+++ b/src/caperridge/commands/accept_file.py
@@ -28,12 +28,12 @@
 )
 from caperridge.store.settle import put_settled, transact_settled
 
-MOST_ITEMS = 110_000
-MOST_LINE_BYTES = 1_000_000
+MAX_ITEMS = 110_000
+MAX_LINE_BYTES = 1_000_000
 PART_BYTES = 1_000_000
-MOST_FINDINGS = 1000
-MOST_CUSTOM_ID = 512
-MOST_UPLOAD_S = 12 * 3600.0
+MAX_FINDINGS = 1000
+MAX_CUSTOM_ID_CHARS = 512
+MAX_UPLOAD_S = 12 * 3600.0
 UPLOADING = "uploading"
 STORED = "stored"
 DELETING = "deleting"
@@ -164,7 +164,7 @@
     def feed(self, block: bytes) -> list[bytes]:
         lines = (self._left + block).split(b"\n")
         self._left = lines.pop()
-        if len(self._left) > MOST_LINE_BYTES:
+        if len(self._left) > MAX_LINE_BYTES:
             self._note(self._number + 1, "the line is too long")
             self._left = b""
         return [line for line in lines if self._good(line)]
@@ -177,8 +177,8 @@
         self._number += 1
         if not line.strip():
             return False
-        if len(self._lines_by_custom_id) >= MOST_ITEMS:
-            self._note(self._number, f"more than {MOST_ITEMS} items")
+        if len(self._lines_by_custom_id) >= MAX_ITEMS:
+            self._note(self._number, f"more than {MAX_ITEMS} items")
             return False
         try:
             item = orjson.loads(line)
@@ -195,8 +195,8 @@
         if not isinstance(custom_id, str) or not custom_id:
             self._note(self._number, "custom_id must be a text")
             return False
-        if len(custom_id) > MOST_CUSTOM_ID:
-            text = f"custom_id is longer than {MOST_CUSTOM_ID} characters"
+        if len(custom_id) > MAX_CUSTOM_ID_CHARS:
+            text = f"custom_id is longer than {MAX_CUSTOM_ID_CHARS} characters"
             self._note(self._number, text)
             return False
         first = self._lines_by_custom_id.setdefault(custom_id, self._number)
@@ -212,7 +212,7 @@
         return True
 
     def _note(self, number: int, text: str) -> None:
-        if len(self.findings) < MOST_FINDINGS:
+        if len(self.findings) < MAX_FINDINGS:
             self.findings.append(Finding(self._name, f"line {number}", text))
 
 
@@ -243,7 +243,7 @@
     async def flush(self) -> Result[None, WriteError]:
         if not self._lines:
             return Ok(None)
-        if self._wall() - self._uploading.created > MOST_UPLOAD_S:
+        if self._wall() - self._uploading.created > MAX_UPLOAD_S:
             # Long before the sweep gives it up, so that no part comes after it.
             return Err(NotDone("the upload took too long"))
         if not self.parts:
--- a/src/caperridge/commands/announce_job.py
+++ b/src/caperridge/commands/announce_job.py
@@ -21,8 +21,8 @@
     RowVersion,
 )
 
-KEPT = 64
-TRIES = 4
+MAX_CHANGES = 64
+MAX_ATTEMPTS = 4
 
 
 async def announce_job(
@@ -36,7 +36,7 @@
         state: of the job now, or ``lapsed``.
     """
     key = keys.JOB_CHANGES
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         found = await platform.read([key])
         if isinstance(found, Err):
             return found
@@ -48,7 +48,10 @@
             condition = RowVersion(key, row.version)
             changes = row.value["changes"]
             number = row.value["number"] + 1
-        value = {"number": number, "changes": [*changes[1 - KEPT :], [job_id, state]]}
+        value = {
+            "number": number,
+            "changes": [*changes[1 - MAX_CHANGES :], [job_id, state]],
+        }
         outcome = await platform.transact(
             [condition], [PutRow(key, value)], secrets.token_hex(8)
         )
--- a/src/caperridge/commands/confirm_intent.py
+++ b/src/caperridge/commands/confirm_intent.py
@@ -24,9 +24,11 @@
 )
 from caperridge.store.settle import transact_settled
 
-SNAPSHOT_EVERY = 50  # versions; a fresh instance reads no more deltas than this
-MOST_INLINE_BYTES = 32 * 1024  # a larger delta is an object of its own
-PUT_TRIES = 3
+SNAPSHOT_INTERVAL_VERSIONS = (
+    50  # versions; a fresh instance reads no more deltas than this
+)
+MAX_INLINE_BYTES = 32 * 1024  # a larger delta is an object of its own
+MAX_PUT_ATTEMPTS = 3
 
 
 class HeadMoved(Record):
@@ -176,7 +178,7 @@
         format=FORMAT,
     )
     packed = PackedDelta(version - 1, version, entry.delta)
-    if len(entry.delta) > MOST_INLINE_BYTES:
+    if len(entry.delta) > MAX_INLINE_BYTES:
         digest = xxhash.xxh3_128_hexdigest(entry.delta)
         entry.delta_object = keys.configuration_delta(version, digest)
         stored = await _put(platform, entry.delta_object, entry.delta)
@@ -184,7 +186,10 @@
             return stored
         entry.delta = b""
     newer = head.format > FORMAT
-    due = not head.snapshot or version - head.snapshot_version >= SNAPSHOT_EVERY
+    due = (
+        not head.snapshot
+        or version - head.snapshot_version >= SNAPSHOT_INTERVAL_VERSIONS
+    )
     if not due and not newer:
         return Ok((entry, packed))
     data = await asyncio.to_thread(pack, confirmed)
@@ -210,7 +215,7 @@
     as not done.
     """
     error: NotDone | Unknown = NotDone("the object store was not asked")
-    for _ in range(PUT_TRIES):
+    for _ in range(MAX_PUT_ATTEMPTS):
         stored = await platform.put_object(name, data)
         if isinstance(stored, Ok):
             return stored
--- a/src/caperridge/commands/forget_call.py
+++ b/src/caperridge/commands/forget_call.py
@@ -17,7 +17,7 @@
 )
 
 
-async def forget_call(platform: Platform, row: Row) -> Result[Committed, WriteError]:
+async def delete_call(platform: Platform, row: Row) -> Result[Committed, WriteError]:
     """Remove the call's object and its row, unless the row changed since it was read.
 
     The object goes first: a row without its object says so to a resend, while an
--- a/src/caperridge/commands/orders.py
+++ b/src/caperridge/commands/orders.py
@@ -23,7 +23,7 @@
 from caperridge.store.settle import transact_settled
 
 
-async def take_target(
+async def acquire_target(
     platform: Platform, target: str, seen: Row | None, row: OrderRow
 ) -> Result[Committed, WriteError]:
     """Become the one who orders ``target``.
--- a/src/caperridge/commands/plain_claims.py
+++ b/src/caperridge/commands/plain_claims.py
@@ -24,7 +24,7 @@
 )
 from caperridge.store.settle import transact_settled
 
-MOST_ROW_BYTES = 16 * 1024
+MAX_ROW_BYTES = 16 * 1024
 
 
 class Claimed(Record):
@@ -75,7 +75,7 @@
         key: of the row.
         done: in state ``done``, its body in place.
     """
-    if len(done.body) > MOST_ROW_BYTES:
+    if len(done.body) > MAX_ROW_BYTES:
         name = f"{key}/{done.request}"
         stored = await platform.put_object(name, done.body)
         if isinstance(stored, Err):
--- a/src/caperridge/commands/started_items.py
+++ b/src/caperridge/commands/started_items.py
@@ -72,7 +72,7 @@
         self.key = keys.started_row(chunk.job, chunk.lane, name)
 
 
-async def start_items(
+async def record_started_items(
     platform: Platform, rows: list[StartedRow]
 ) -> Result[Committed, WriteError]:
     """Make it durable that the items are started; only then may they be sent.
@@ -94,7 +94,7 @@
     return await transact_settled(platform, conditions, writes, secrets.token_hex(8))
 
 
-async def give_back_items(
+async def return_unsent_items(
     platform: Platform, row: StartedRow, sent: list[int]
 ) -> Result[Committed, WriteError]:
     """Take back what was started but never sent, so that the next holder may send it.
--- a/src/caperridge/commands/sweep_job.py
+++ b/src/caperridge/commands/sweep_job.py
@@ -18,7 +18,7 @@
     WriteError,
 )
 
-MOST_ROWS = 50
+MAX_ROWS = 50
 
 
 async def sweep_objects(
@@ -43,7 +43,7 @@
 
 async def sweep_rows(platform: Platform, prefix: str) -> Result[int, WriteError]:
     """Delete up to :data:`MOST_ROWS` rows with ``prefix``; return how many."""
-    rows = await platform.scan(prefix, "", MOST_ROWS)
+    rows = await platform.scan(prefix, "", MAX_ROWS)
     if isinstance(rows, Err):
         return rows
     if not rows.ok_value:
@@ -73,7 +73,7 @@
     return removed.map(lambda _: 0)
 
 
-async def give_up_file(
+async def mark_file_deleting(
     platform: Platform, file_id: str, seen_version: int
 ) -> Result[bool, WriteError]:
     """Mark a file as being deleted, unless a job refers to it.
@@ -113,7 +113,7 @@
 async def sweep_session(platform: Platform, session_id: str) -> Result[int, WriteError]:
     """Remove a session that ended long ago, and its checkpoints first."""
     outcome = await sweep_objects(
-        platform, keys.checkpoints(session_id), set(), MOST_ROWS
+        platform, keys.checkpoints(session_id), set(), MAX_ROWS
     )
     if isinstance(outcome, Err):
         return outcome
--- a/src/caperridge/instance/call_sweeper.py
+++ b/src/caperridge/instance/call_sweeper.py
@@ -6,7 +6,7 @@
 from result import Err
 
 from caperridge import keys
-from caperridge.commands.forget_call import forget_call
+from caperridge.commands.forget_call import delete_call
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.plain_calls import CallClaim, is_expired
 from caperridge.instance.actor import Actor
@@ -51,6 +51,6 @@
             return
         for row in page.ok_value:
             if is_expired(CallClaim.from_map(row.value), self._clock()):
-                await forget_call(self._platform, row)
+                await delete_call(self._platform, row)
         rows = page.ok_value
         self._after = rows[-1].key if len(rows) == PAGE else ""
--- a/src/caperridge/instance/claimer.py
+++ b/src/caperridge/instance/claimer.py
@@ -33,7 +33,7 @@
     SessionsLapsed,
 )
 from caperridge.instance.job_items import JobItems
-from caperridge.queries.jobs import read_view, session_states
+from caperridge.queries.jobs import read_session_states, read_view
 from caperridge.records import Record
 from caperridge.store.interface import Conflict, Platform
 
@@ -299,7 +299,7 @@
             if session != own and self._states_by_session.get(session, ALIVE) == ALIVE
         }
         if holders:
-            states = await session_states(self._platform, holders)
+            states = await read_session_states(self._platform, holders)
             if isinstance(states, Err):
                 return states
             self._states_by_session.update(states.ok_value)
--- a/src/caperridge/instance/intents_http.py
+++ b/src/caperridge/instance/intents_http.py
@@ -19,7 +19,7 @@
 from caperridge.instance.messages import ConfigurationConfirmed
 from caperridge.queries.configuration import read_head, read_history, read_version
 from caperridge.queries.facts import read_plan_context
-from caperridge.queries.in_force import merge, read_versions
+from caperridge.queries.in_force import merge_versions, read_versions
 from caperridge.refusals import NOT_RUN, UNKNOWN, Refusal, RefusedError
 from caperridge.store.interface import NotDone
 
@@ -148,7 +148,9 @@
         versions_by_instance[instance.settings.instance_id] = current
         listed = set(instance.membership.members_by_id)
         listed.add(instance.settings.instance_id)
-        return json_response(merge(version, listed, versions_by_instance).to_map())
+        return json_response(
+            merge_versions(version, listed, versions_by_instance).to_map()
+        )
 
     async def _asked(self, request: web.Request) -> Asked:
         body = await _body(request)
--- a/src/caperridge/instance/item_starts.py
+++ b/src/caperridge/instance/item_starts.py
@@ -2,9 +2,13 @@
 
 from result import Err
 
-from caperridge.commands.started_items import HeldChunk, StartedRow, start_items
+from caperridge.commands.started_items import (
+    HeldChunk,
+    StartedRow,
+    record_started_items,
+)
 from caperridge.instance.item_work import PlainItemWork
-from caperridge.queries.started_items import started_indexes
+from caperridge.queries.started_items import read_started_indexes
 from caperridge.store.interface import Conflict, Platform, WriteError
 
 MOST_CHUNKS = 64
@@ -58,7 +62,9 @@
             rows_by_chunk[chunk] = StartedRow(chunk, indexes)
         if not rows_by_chunk:
             return outcome
-        written = await start_items(self._platform, list(rows_by_chunk.values()))
+        written = await record_started_items(
+            self._platform, list(rows_by_chunk.values())
+        )
         for chunk, fresh in fresh_by_chunk.items():
             if isinstance(written, Err):
                 ours = _still_ours(chunk, written.err_value)
@@ -75,7 +81,7 @@
             return set()  # Nobody else ever held it.
         if chunk in self._before_by_chunk:
             return self._before_by_chunk[chunk]
-        found = await started_indexes(self._platform, chunk.job, chunk.lane)
+        found = await read_started_indexes(self._platform, chunk.job, chunk.lane)
         if isinstance(found, Err):
             return None
         while len(self._before_by_chunk) >= MOST_CHUNKS:
--- a/src/caperridge/instance/jobs_reader.py
+++ b/src/caperridge/instance/jobs_reader.py
@@ -21,7 +21,7 @@
 from caperridge.log import logger
 from caperridge.peers.interface import NoPeers, Peers
 from caperridge.peers.messages import JobsRead
-from caperridge.queries.jobs import open_jobs, read_changes, read_job
+from caperridge.queries.jobs import read_changes, read_job, read_open_jobs
 from caperridge.records import Record, pack
 from caperridge.store.interface import Platform
 
@@ -115,7 +115,7 @@
         await self._take_all(Changes(before or 0, number, changes), reader)
 
     async def _scan(self, number: int, reader: bool) -> None:
-        jobs = await open_jobs(self._platform)
+        jobs = await read_open_jobs(self._platform)
         if isinstance(jobs, Err):
             self._reads.schedule_scan(self._clock())
             return
--- a/src/caperridge/instance/keyed_calls.py
+++ b/src/caperridge/instance/keyed_calls.py
@@ -37,7 +37,7 @@
 from caperridge.instance.plain_headers import kept, of_pairs
 from caperridge.instance.session import SessionKeeper
 from caperridge.log import logger
-from caperridge.queries.plain_calls import holder_alive, recorded_body
+from caperridge.queries.plain_calls import is_holder_alive, read_recorded_body
 from caperridge.refusals import NOT_RUN, RAN, UNKNOWN, RefusedError
 from caperridge.store.interface import (
     Committed,
@@ -168,7 +168,7 @@
     ) -> PlainAnswer:
         alive = True
         if claim.state == RUNNING:
-            found = await holder_alive(self._platform, claim)
+            found = await is_holder_alive(self._platform, claim)
             alive = isinstance(found, Err) or found.ok_value
         action = on_resend(claim, digest, alive, self._clock())
         match action:
@@ -185,7 +185,7 @@
                 return await self._recorded(request, action.claim)
 
     async def _recorded(self, request: PlainRequest, claim: CallClaim) -> PlainAnswer:
-        body = await recorded_body(self._platform, claim)
+        body = await read_recorded_body(self._platform, claim)
         if isinstance(body, Err):
             text = f"the call ran, its answer cannot be read now: {body.err_value}"
             raise request.refuse("platform_away", text, 503, RAN, RETRY_AFTER_S)
--- a/src/caperridge/instance/orderer.py
+++ b/src/caperridge/instance/orderer.py
@@ -14,7 +14,7 @@
 
 from result import Err
 
-from caperridge.commands.orders import release_target, take_target
+from caperridge.commands.orders import acquire_target, release_target
 from caperridge.commands.sessions import lapse_session
 from caperridge.config.model import Configuration, Service
 from caperridge.decisions.load_pacing import Load
@@ -272,7 +272,7 @@
             return False
         ordered.touched = True
         row = OrderRow(session_id, decision.fence, self._lease_s)
-        taken = await take_target(self._platform, target_id, seen.row, row)
+        taken = await acquire_target(self._platform, target_id, seen.row, row)
         if isinstance(taken, Err):
             return False
         ordered.lease.record_takeover(session_id, decision)
--- a/src/caperridge/instance/plain_items.py
+++ b/src/caperridge/instance/plain_items.py
@@ -12,7 +12,7 @@
 
 from result import Err, Ok, Result
 
-from caperridge.commands.started_items import give_back_items
+from caperridge.commands.started_items import return_unsent_items
 from caperridge.config.model import Service
 from caperridge.decisions.plain_items import (
     STARTED_BEFORE,
@@ -198,7 +198,7 @@
             assert row is not None
             unsent = {work.index for work in works}
             sent = [index for index in row.indexes if index not in unsent]
-            await give_back_items(self._platform, row, sent)
+            await return_unsent_items(self._platform, row, sent)
             for work in works:
                 work.row = None
 
--- a/src/caperridge/instance/process.py
+++ b/src/caperridge/instance/process.py
@@ -64,7 +64,7 @@
 from caperridge.peers.messages import (
     TargetNews,
 )
-from caperridge.queries.explain import Explanations
+from caperridge.queries.explain import TraceLookup
 from caperridge.settings import Settings
 from caperridge.store.http import HttpPlatform
 from caperridge.store.interface import ListedMember, Platform
@@ -174,7 +174,7 @@
             self.held_requests,
             self._seat,
         )
-        self.explanations = Explanations(self.traces, self.peers)
+        self.explanations = TraceLookup(self.traces, self.peers)
         self.target_reports = TargetReports(
             self.membership,
             book,
--- a/src/caperridge/instance/sweeper.py
+++ b/src/caperridge/instance/sweeper.py
@@ -8,7 +8,7 @@
 from caperridge.commands.accept_file import DELETING, UPLOADING, StoredFile
 from caperridge.commands.sessions import ALIVE
 from caperridge.commands.sweep_job import (
-    give_up_file,
+    mark_file_deleting,
     sweep_file,
     sweep_job,
     sweep_objects,
@@ -134,7 +134,7 @@
             kept_s = UPLOAD_KEPT_S if file.state == UPLOADING else self._retention_s
             if file.created + kept_s >= self._wall():
                 return 0
-            given_up = await give_up_file(self._platform, file.id, row.version)
+            given_up = await mark_file_deleting(self._platform, file.id, row.version)
             if isinstance(given_up, Err) or not given_up.ok_value:
                 return 1
         outcome = await sweep_file(self._platform, file.id, most)
--- a/src/caperridge/instance/wiring_peers.py
+++ b/src/caperridge/instance/wiring_peers.py
@@ -49,8 +49,8 @@
     )
     mesh.register(LoadedNews, lambda _, news: instance.orderer.tell(LoadedHeard(news)))
     mesh.register(LoadNews, lambda _, news: instance.online.loads_told(news))
-    mesh.register(TraceAsk, instance.explanations.asked)
-    mesh.register(TraceAnswer, instance.explanations.answered)
+    mesh.register(TraceAsk, instance.explanations.answer_peer)
+    mesh.register(TraceAnswer, instance.explanations.record_answer)
 
 
 def relayed_platform(
--- a/src/caperridge/queries/explain.py
+++ b/src/caperridge/queries/explain.py
@@ -7,10 +7,10 @@
 from caperridge.peers.interface import Peers
 from caperridge.peers.messages import TraceAnswer, TraceAsk
 
-LONGEST_S = 1.5
+TRACE_TIMEOUT_S = 1.5
 
 
-class Asked:
+class PendingTrace:
     """One question that is out.
 
     Attributes:
@@ -18,15 +18,15 @@
         left: peers that have not answered yet.
     """
 
-    __slots__ = ("answer", "left")
+    __slots__ = ("answer", "unanswered")
 
     def __init__(self) -> None:
         self.answer: asyncio.Future[dict[str, Any] | None]
         self.answer = asyncio.get_running_loop().create_future()
-        self.left = 0
+        self.unanswered = 0
 
 
-class Explanations:
+class TraceLookup:
     """Finds traces, here and at peers.
 
     Args:
@@ -37,7 +37,7 @@
     def __init__(self, traces: Traces, peers: Peers) -> None:
         self.peers = peers
         self._traces = traces
-        self._asked_by_number: dict[int, Asked] = {}
+        self._asked_by_number: dict[int, PendingTrace] = {}
         self._number = 0
 
     async def explain(self, request: str) -> dict[str, Any] | None:
@@ -47,29 +47,29 @@
             return trace.to_map()
         self._number += 1
         number = self._number
-        asked = self._asked_by_number[number] = Asked()
+        asked = self._asked_by_number[number] = PendingTrace()
         try:
-            asked.left = self.peers.send_all(TraceAsk(number, request))
-            if not asked.left:
+            asked.unanswered = self.peers.send_all(TraceAsk(number, request))
+            if not asked.unanswered:
                 return None
-            async with asyncio.timeout(LONGEST_S):
+            async with asyncio.timeout(TRACE_TIMEOUT_S):
                 return await asked.answer
         except TimeoutError:
             return None
         finally:
             del self._asked_by_number[number]
 
-    def asked(self, sender: str, message: TraceAsk) -> None:
+    def answer_peer(self, sender: str, message: TraceAsk) -> None:
         """Answer the question of a peer."""
         trace = self._traces.find(message.request)
         found = trace.to_map() if trace is not None else None
         self.peers.send(sender, TraceAnswer(message.number, found))
 
-    def answered(self, _sender: str, message: TraceAnswer) -> None:
+    def record_answer(self, _sender: str, message: TraceAnswer) -> None:
         """Take in the answer of a peer."""
         asked = self._asked_by_number.get(message.number)
         if asked is None or asked.answer.done():
             return
-        asked.left -= 1
-        if message.trace is not None or asked.left <= 0:
+        asked.unanswered -= 1
+        if message.trace is not None or asked.unanswered <= 0:
             asked.answer.set_result(message.trace)
--- a/src/caperridge/queries/facts.py
+++ b/src/caperridge/queries/facts.py
@@ -6,7 +6,7 @@
 
 from caperridge.decisions.effects import PlanContext, Runner
 from caperridge.decisions.loaded_book import LoadedBook
-from caperridge.queries.jobs import open_jobs
+from caperridge.queries.jobs import read_open_jobs
 from caperridge.store.interface import ListedMember, Platform
 
 
@@ -32,7 +32,7 @@
         loaded = state.loaded if state is not None else None
         runners.append(Runner(member.id, member.service, member.region, loaded))
     runners.sort(key=lambda runner: runner.id)
-    jobs = await open_jobs(platform)
+    jobs = await read_open_jobs(platform)
     return PlanContext(
         operator, runners, jobs.ok_value if isinstance(jobs, Ok) else None
     )
--- a/src/caperridge/queries/in_force.py
+++ b/src/caperridge/queries/in_force.py
@@ -34,7 +34,7 @@
         self.not_reached = not_reached
 
 
-def merge(
+def merge_versions(
     version: int, listed: set[str], versions_by_instance: dict[str, int]
 ) -> InForce:
     """Return who has ``version``, of what was heard from whom.
--- a/src/caperridge/queries/jobs.py
+++ b/src/caperridge/queries/jobs.py
@@ -37,7 +37,7 @@
     return await read_record(platform, keys.job(job_id), Job)
 
 
-async def open_jobs(platform: Platform) -> Result[list[Job], ReadError]:
+async def read_open_jobs(platform: Platform) -> Result[list[Job], ReadError]:
     """Return every open job."""
     rows = await scan_all(platform, keys.OPEN_JOBS)
     return rows.map(lambda found: [Job.from_map(row.value) for row in found])
@@ -139,7 +139,7 @@
         yield Ok(b"".join(wanted))
 
 
-async def session_states(
+async def read_session_states(
     platform: Platform, session_ids: set[str]
 ) -> Result[dict[str, str], ReadError]:
     """Return the state of each session by id; one without a row counts as lapsed."""
--- a/src/caperridge/queries/plain_calls.py
+++ b/src/caperridge/queries/plain_calls.py
@@ -8,7 +8,9 @@
 from caperridge.store.interface import NotDone, Platform, ReadError
 
 
-async def holder_alive(platform: Platform, claim: CallClaim) -> Result[bool, ReadError]:
+async def is_holder_alive(
+    platform: Platform, claim: CallClaim
+) -> Result[bool, ReadError]:
     """Return whether the session that may send the call still lasts."""
     key = keys.session(claim.session)
     found = await platform.read([key])
@@ -18,7 +20,7 @@
     return Ok(row is not None and row.value["state"] == ALIVE)
 
 
-async def recorded_body(
+async def read_recorded_body(
     platform: Platform, claim: CallClaim
 ) -> Result[bytes, ReadError]:
     """Return the body of a recorded answer, from its row or its object."""
--- a/src/caperridge/queries/rows.py
+++ b/src/caperridge/queries/rows.py
@@ -7,7 +7,7 @@
 from caperridge.records import Record
 from caperridge.store.interface import Platform, ReadError, Row
 
-PAGE = 1000
+PAGE_ROWS = 1000
 
 Kind = TypeVar("Kind", bound=Record)
 
@@ -28,10 +28,10 @@
     rows: list[Row] = []
     after = ""
     while True:
-        page = await platform.scan(prefix, after, PAGE)
+        page = await platform.scan(prefix, after, PAGE_ROWS)
         if isinstance(page, Err):
             return page
         rows.extend(page.ok_value)
-        if len(page.ok_value) < PAGE:
+        if len(page.ok_value) < PAGE_ROWS:
             return Ok(rows)
         after = page.ok_value[-1].key
--- a/src/caperridge/queries/started_items.py
+++ b/src/caperridge/queries/started_items.py
@@ -7,7 +7,7 @@
 from caperridge.store.interface import Platform, ReadError
 
 
-async def started_indexes(
+async def read_started_indexes(
     platform: Platform, job: str, lane: int
 ) -> Result[set[int], ReadError]:
     """Return the items of a lane that some holder may have sent.
--- a/tests/batch/batch_world.py
+++ b/tests/batch/batch_world.py
@@ -14,7 +14,12 @@
 from caperridge.decisions.claims import ChunkRow, Split, must_fail, plan_claims
 from caperridge.decisions.jobs import DONE, OPEN, ChunkState, Job
 from caperridge.decisions.leases import Lease, SessionWatch
-from caperridge.queries.jobs import open_jobs, read_view, scan_all, session_states
+from caperridge.queries.jobs import (
+    read_open_jobs,
+    read_session_states,
+    read_view,
+    scan_all,
+)
 from caperridge.standins.platform import MemoryPlatform
 from caperridge.store.interface import Conflict, NotDone, PutRow, Unknown
 
@@ -137,7 +142,7 @@
         """
         if node.paused or node.lease.remaining_s(self.now) <= 0:
             return False
-        jobs = self.do(open_jobs(self.platform))
+        jobs = self.do(read_open_jobs(self.platform))
         if isinstance(jobs, Err):
             return False
         for job in jobs.ok_value:
@@ -148,7 +153,9 @@
                 completed, failed = view.ok_value.counts()
                 self.do(complete_job(self.platform, job.id, 1.0, completed, failed))
                 return True
-            states = self.do(session_states(self.platform, view.ok_value.holders()))
+            states = self.do(
+                read_session_states(self.platform, view.ok_value.holders())
+            )
             if isinstance(states, Err):
                 return False
 
--- a/tests/batch/test_files.py
+++ b/tests/batch/test_files.py
@@ -7,9 +7,9 @@
 
 from caperridge import keys
 from caperridge.commands import accept_file as accepting
-from caperridge.commands.accept_file import DELETING, MOST_UPLOAD_S, accept_file
+from caperridge.commands.accept_file import DELETING, MAX_UPLOAD_S, accept_file
 from caperridge.commands.accept_job import accept_job
-from caperridge.commands.sweep_job import give_up_file
+from caperridge.commands.sweep_job import mark_file_deleting
 from caperridge.decisions.jobs import COMPLETED, OPEN, Job
 from caperridge.decisions.membership import Membership
 from caperridge.instance.sweeper import UPLOAD_KEPT_S, Sweeper
@@ -137,7 +137,7 @@
     assert isinstance(await accept_job(memory, job_of(file)), Ok)
     for row in [row for row in memory.rows_by_key if row.startswith("file-job/")]:
         del memory.rows_by_key[row]  # as a scan just before would have seen it
-    refused = await give_up_file(memory, file, seen)
+    refused = await mark_file_deleting(memory, file, seen)
     assert isinstance(refused.err_value, Conflict)
     assert memory.rows_by_key[keys.file(file)].value["state"] != DELETING
 
@@ -179,9 +179,9 @@
     sending = Upload()
 
     async def between(number: int) -> None:
-        clock.now += MOST_UPLOAD_S / (PARTS - 2)
+        clock.now += MAX_UPLOAD_S / (PARTS - 2)
 
     sending.between = between
     stored = await accept_file(memory, "c", sending.blocks(), wall=clock)
     assert isinstance(stored.err_value, NotDone)
-    assert MOST_UPLOAD_S < UPLOAD_KEPT_S / 1.5
+    assert MAX_UPLOAD_S < UPLOAD_KEPT_S / 1.5
--- a/tests/batch/test_job_reads.py
+++ b/tests/batch/test_job_reads.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from batch.reads_world import COUNT, TICK_S, ReadsWorld
-from caperridge.commands.announce_job import KEPT
+from caperridge.commands.announce_job import MAX_CHANGES
 from caperridge.decisions.job_reads import (
     FALLBACK_POLL_INTERVAL_S,
     FALLBACK_SCAN_INTERVAL_S,
@@ -141,7 +141,7 @@
     world: ReadsWorld,
 ) -> None:
     world.nodes[1].paused = True
-    for number in range(KEPT + 5):
+    for number in range(MAX_CHANGES + 5):
         world.put(f"j{number}", OPEN)
     world.advance(HEALTHY_S)
     world.check(HEALTHY_S)
--- a/tests/configuration/test_order.py
+++ b/tests/configuration/test_order.py
@@ -3,7 +3,7 @@
 import pytest
 from result import Err, Ok
 
-from caperridge.commands.confirm_intent import SNAPSHOT_EVERY, HeadMoved
+from caperridge.commands.confirm_intent import SNAPSHOT_INTERVAL_VERSIONS, HeadMoved
 from caperridge.config.model import FORMAT, Caller, Configuration
 from caperridge.decisions.configuration_order import (
     MAX_DELTAS,
@@ -129,7 +129,7 @@
 
 async def test_a_fresh_reader_needs_one_snapshot_and_few_rows(world: World) -> None:
     member = world.members_by_name["entry-1"]
-    for number in range(SNAPSHOT_EVERY + 3):
+    for number in range(SNAPSHOT_INTERVAL_VERSIONS + 3):
         await world.confirm(member, with_callers("a", share=1.0 + number))
     before = world.memory.counters.replace()
     head = (await read_head(world.memory)).unwrap()
--- a/tests/online/test_requests.py
+++ b/tests/online/test_requests.py
@@ -17,7 +17,7 @@
 from caperridge.instance.traces import Traces
 from caperridge.peers.interface import NoPeers
 from caperridge.peers.messages import LoadNews, TraceAnswer, TraceAsk
-from caperridge.queries.explain import Explanations
+from caperridge.queries.explain import TraceLookup
 from caperridge.records import Record
 from caperridge.standins.engine import Engine
 from caperridge.standins.engine_model import prefix_blocks as standin_blocks
@@ -178,15 +178,15 @@
     here, there = Wire(), Wire()
     traces = Traces()
     traces.open("r1", "heat", "online").add("answered", "whole")
-    asking = Explanations(Traces(), here)
-    knowing = Explanations(traces, there)
+    asking = TraceLookup(Traces(), here)
+    knowing = TraceLookup(traces, there)
     answer = asyncio.create_task(asking.explain("r1"))
     await until(lambda: here.sent)
-    knowing.asked("entry-1", TraceAsk(here.sent[0].number, "r1"))
-    asking.answered("entry-2", TraceAnswer(here.sent[0].number, None))
-    asking.answered("entry-2", there.sent[0])
+    knowing.answer_peer("entry-1", TraceAsk(here.sent[0].number, "r1"))
+    asking.record_answer("entry-2", TraceAnswer(here.sent[0].number, None))
+    asking.record_answer("entry-2", there.sent[0])
     assert (await answer)["steps"][0]["what"] == "answered"
-    asking.answered("entry-2", there.sent[0])  # a late second one finds nobody
+    asking.record_answer("entry-2", there.sent[0])  # a late second one finds nobody
 
 
 def test_a_silent_target_is_avoided_before_any_limit_runs_out(front: Front) -> None:
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -3,7 +3,7 @@
 import pytest
 from result import Err, Ok
 
-from caperridge.commands.orders import release_target, take_target
+from caperridge.commands.orders import acquire_target, release_target
 from caperridge.config.model import Service
 from caperridge.decisions.load_pacing import MOST_LOADS, Load, may_begin, under_way
 from caperridge.decisions.loaded_book import LoadedBook, LoadedState
@@ -267,14 +267,14 @@
     rows = []
     for member in (one, other):
         row = OrderRow(member.session.session_id, 1, LEASE_S)
-        rows.append(await take_target(world.memory, "r9", None, row))
+        rows.append(await acquire_target(world.memory, "r9", None, row))
     assert [isinstance(row, Ok) for row in rows] == [True, False]
     seen = world.memory.rows_by_key["order/r9"]
     released = await release_target(world.memory, "r9", other.session.session_id)
     assert isinstance(released.unwrap_err(), Conflict)
     await release_target(world.memory, "r9", one.session.session_id)
     late = OrderRow(other.session.session_id, 2, LEASE_S)
-    assert isinstance(await take_target(world.memory, "r9", seen, late), Err)
+    assert isinstance(await acquire_target(world.memory, "r9", seen, late), Err)
 
 
 @pytest.mark.parametrize("members", [1, 2])
--- a/tests/plain/test_call_sweeper.py
+++ b/tests/plain/test_call_sweeper.py
@@ -3,7 +3,7 @@
 import pytest
 
 from caperridge import keys
-from caperridge.commands.forget_call import forget_call
+from caperridge.commands.forget_call import delete_call
 from caperridge.commands.plain_claims import claim_call, record_answer, release_call
 from caperridge.commands.sessions import open_session
 from caperridge.decisions.membership import Membership
@@ -48,5 +48,5 @@
     await release_call(memory, key, "r1")
     await claim_call(memory, key, claim.replace(request="r2"))
     assert memory.rows_by_key[key].version == read.version
-    await forget_call(memory, read)
+    await delete_call(memory, read)
     assert memory.rows_by_key[key].value["request"] == "r2"
--- a/tests/plain/test_keyed_machine.py
+++ b/tests/plain/test_keyed_machine.py
@@ -35,7 +35,7 @@
     StillRunning,
     on_resend,
 )
-from caperridge.queries.plain_calls import holder_alive
+from caperridge.queries.plain_calls import is_holder_alive
 from caperridge.store import settle
 from caperridge.store.interface import Unknown
 from plain.conftest import ClaimFaults
@@ -111,7 +111,7 @@
         return multiple()
 
     def check_resend(self, key, digest, found):
-        alive = done(holder_alive(self.platform, found)).ok_value
+        alive = done(is_holder_alive(self.platform, found)).ok_value
         action = on_resend(found, digest, alive, now=1.0)
         other = digest != self.digests_by_request[found.request]
         assert isinstance(action, KeyReused) == other
