--- a/src/caperridge/instance/orderer.py
+++ b/src/caperridge/instance/orderer.py
@@ -14,7 +14,7 @@
 
 from result import Err
 
-from caperridge.commands.orders import release_target, take_target
+from caperridge.commands.orders import acquire_target, release_target
 from caperridge.commands.sessions import lapse_session
 from caperridge.config.model import Configuration, Service
 from caperridge.decisions.load_pacing import Load
@@ -218,7 +218,7 @@
             return
         observed = seen.ok_value
         if observed.fence > ordered.lease.fence:
-            ordered.lease.lost()
+            ordered.lease.mark_lost()
             return
         desired = self._desired(ordered.member, service)
         step = next_step(observed, desired)
@@ -272,10 +272,10 @@
             return False
         ordered.touched = True
         row = OrderRow(session_id, decision.fence, self._lease_s)
-        taken = await take_target(self._platform, target_id, seen.row, row)
+        taken = await acquire_target(self._platform, target_id, seen.row, row)
         if isinstance(taken, Err):
             return False
-        ordered.lease.taken(session_id, decision)
+        ordered.lease.record_takeover(session_id, decision)
         log.info("target taken", target=target_id, fence=decision.fence)
         return True
 
@@ -338,7 +338,7 @@
         told = await self._client.order(address, lease.fence, desired, gb)
         if isinstance(told, Err) and isinstance(told.err_value, OldFence):
             log.warning("order refused", target=ordered.member.id, fence=lease.fence)
-            lease.lost()
+            lease.mark_lost()
             return
         ordered.why = "it was told"
         log.info("target told", target=ordered.member.id, fence=lease.fence)
--- a/tests/batch/batch_world.py
+++ b/tests/batch/batch_world.py
@@ -11,10 +11,15 @@
 from caperridge.commands.accept_file import STORED
 from caperridge.commands.complete_job import complete_job
 from caperridge.decisions.chunks import Chunk
-from caperridge.decisions.claims import SeenChunk, Split, must_fail, plan_claims
+from caperridge.decisions.claims import ChunkRow, Split, must_fail, plan_claims
 from caperridge.decisions.jobs import DONE, OPEN, ChunkState, Job
 from caperridge.decisions.leases import Lease, SessionWatch
-from caperridge.queries.jobs import open_jobs, read_view, scan_all, session_states
+from caperridge.queries.jobs import (
+    read_open_jobs,
+    read_session_states,
+    read_view,
+    scan_all,
+)
 from caperridge.standins.platform import MemoryPlatform
 from caperridge.store.interface import Conflict, NotDone, PutRow, Unknown
 
@@ -91,7 +96,7 @@
         return outcome
 
     def renew(self, node: Node) -> None:
-        if node.paused or not node.lease.due(self.now):
+        if node.paused or not node.lease.renewal_due(self.now):
             return
         if not node.session:
             self.starts += 1
@@ -99,7 +104,7 @@
             opened = sessions.open_session(self.platform, name, node.name, LEASE_S)
             if isinstance(self.do(opened), Ok):
                 node.session = name
-                node.lease.renewed(self.now)
+                node.lease.record_renewal(self.now)
                 node.held_by_key.clear()
             return
         node.renewals += 1
@@ -107,12 +112,12 @@
             sessions.renew_session(self.platform, node.session, node.renewals)
         )
         if isinstance(outcome, Ok):
-            node.lease.renewed(self.now)
+            node.lease.record_renewal(self.now)
         elif isinstance(outcome.err_value, Conflict):
             node.session = ""
-            node.lease.lost()
+            node.lease.mark_lost()
         else:
-            node.lease.not_renewed(self.now, 0.0, 0.5)
+            node.lease.record_failed_renewal(self.now, 0.0, 0.5)
 
     def observe(self, node: Node) -> None:
         rows = self.do(scan_all(self.platform, keys.SESSIONS))
@@ -127,7 +132,7 @@
             for other in self.nodes:
                 # Nobody who still believes in its lease may be declared lapsed.
                 if other.session == name:
-                    assert other.lease.left_s(self.now) <= 0
+                    assert other.lease.remaining_s(self.now) <= 0
             self.do(sessions.lapse_session(self.platform, name, version))
 
     def claim(self, node: Node, size: int, stale: bool = False) -> bool:
@@ -135,9 +140,9 @@
 
         A stale claim is only planned now, and made with :meth:`claim_planned`.
         """
-        if node.paused or node.lease.left_s(self.now) <= 0:
+        if node.paused or node.lease.remaining_s(self.now) <= 0:
             return False
-        jobs = self.do(open_jobs(self.platform))
+        jobs = self.do(read_open_jobs(self.platform))
         if isinstance(jobs, Err):
             return False
         for job in jobs.ok_value:
@@ -148,11 +153,13 @@
                 completed, failed = view.ok_value.counts()
                 self.do(complete_job(self.platform, job.id, 1.0, completed, failed))
                 return True
-            states = self.do(session_states(self.platform, view.ok_value.holders()))
+            states = self.do(
+                read_session_states(self.platform, view.ok_value.holders())
+            )
             if isinstance(states, Err):
                 return False
 
-            def abandoned(seen: SeenChunk, start: int) -> bool | None:
+            def abandoned(seen: ChunkRow, start: int) -> bool | None:
                 session = seen.state.session
                 if session == node.session:
                     mine = keys.chunk(job.id, start) in node.held_by_key  # noqa: B023
--- a/tests/batch/test_batch_decisions.py
+++ b/tests/batch/test_batch_decisions.py
@@ -3,8 +3,8 @@
 import pytest
 
 from caperridge.decisions.item_failures import (
-    MOST_FAULTS,
-    GiveUp,
+    MAX_FAULTS,
+    FailItem,
     Retry,
     RetryBudget,
     after_failure,
@@ -17,16 +17,16 @@
 
 def test_the_holder_counts_from_before_the_renewal_was_sent() -> None:
     lease = Lease(10.0)
-    lease.renewed(sent=100.0)
-    assert (lease.left_s(109.0), lease.left_s(110.0)) == (1.0, 0.0)
-    assert (lease.due(104.9), lease.due(105.0)) == (False, True)
+    lease.record_renewal(sent=100.0)
+    assert (lease.remaining_s(109.0), lease.remaining_s(110.0)) == (1.0, 0.0)
+    assert (lease.renewal_due(104.9), lease.renewal_due(105.0)) == (False, True)
 
 
 def test_a_throttled_renewal_comes_back_when_asked_to() -> None:
     lease = Lease(10.0)
-    lease.renewed(sent=100.0)
-    lease.not_renewed(105.0, retry_after_s=2.0, jitter=0.5)
-    assert (lease.due(106.9), lease.due(107.0)) == (False, True)
+    lease.record_renewal(sent=100.0)
+    lease.record_failed_renewal(105.0, retry_after_s=2.0, jitter=0.5)
+    assert (lease.renewal_due(106.9), lease.renewal_due(107.0)) == (False, True)
 
 
 @pytest.mark.parametrize(
@@ -68,14 +68,14 @@
     verdict = after_failure(error, "r", faults=0, tries=0)
     assert isinstance(verdict, Retry)
     assert verdict.faults == int(own)
-    last = after_failure(error, "r", faults=MOST_FAULTS - 1, tries=9)
-    assert isinstance(last, GiveUp if own else Retry)
+    last = after_failure(error, "r", faults=MAX_FAULTS - 1, tries=9)
+    assert isinstance(last, FailItem if own else Retry)
 
 
 @pytest.mark.parametrize("status", [400, 404, 413, 422])
 def test_a_permanent_refusal_fails_the_item_with_its_reason(status: int) -> None:
     verdict = after_failure(TargetRefused(status, "too long"), "r", 0, 0)
-    assert verdict == GiveUp("target_refused", "too long", status)
+    assert verdict == FailItem("target_refused", "too long", status)
 
 
 def test_retries_are_bounded_by_a_budget() -> None:
