--- a/src/caperridge/gateway/fleet.py
+++ b/src/caperridge/gateway/fleet.py
@@ -13,10 +13,10 @@
 log = logger(__name__)
 
 # Callers give up after 5 s; a target that is back should serve them again by then.
-LONGEST_OUT_S = 4.0
+MAX_EJECTION_S = 4.0
 # Failures further apart than this have nothing to do with each other: one request in
 # some hundred breaks at any target.
-FAILURES_COUNT_FOR_S = 10.0
+FAILURE_WINDOW_S = 10.0
 # A target that refuses an item though it looks free knows better; it is not offered
 # another one for so long.
 REFUSED_FOR_S = 0.5
@@ -38,15 +38,15 @@
         chance: breaks ties.
     """
 
-    def __init__(self, instance: str, zone: str, chance: random.Random) -> None:
+    def __init__(self, instance: str, zone: str, rng: random.Random) -> None:
         self.zone = zone
-        self.chance = chance
+        self.rng = rng
         self.targets = TargetList()
         self.occupancy = Occupancy(instance)
-        self.known = False
-        self.far_counts_are_old = False
+        self.targets_known = False
+        self.remote_counts_stale = False
         self.unreachable: dict[str, str] = {}
-        self.lengths_by_service: dict[str, RunLengths] = {}
+        self.run_lengths_by_service: dict[str, RunLengths] = {}
         self._health_by_target: dict[str, Health] = {}
         self._failed_at_by_target: dict[str, float] = {}
         self._refusing_until_by_target: dict[str, float] = {}
@@ -55,18 +55,18 @@
         self.silent_zones: Callable[[float], frozenset[str]] = lambda now: frozenset()
         self._changed: list[Callable[[], None]] = []
 
-    def lengths(self, service: str) -> RunLengths:
+    def run_lengths(self, service: str) -> RunLengths:
         """Return what is known of how long the runs of ``service`` take."""
-        lengths = self.lengths_by_service.get(service)
+        lengths = self.run_lengths_by_service.get(service)
         if lengths is None:
-            lengths = self.lengths_by_service[service] = RunLengths()
+            lengths = self.run_lengths_by_service[service] = RunLengths()
         return lengths
 
     def on_change(self, call: Callable[[], None]) -> None:
         """Have ``call`` called when counts or targets have changed."""
         self._changed.append(call)
 
-    def changed(self) -> None:
+    def notify_changed(self) -> None:
         """Tell everyone who asked that counts or targets have changed."""
         for call in self._changed:
             call()
@@ -94,11 +94,11 @@
         target = self.targets.by_id.get(id)
         return target is not None and not target.draining and not self._is_out(id, now)
 
-    def refused_item(self, id: str, now: float) -> None:
+    def record_item_refusal(self, id: str, now: float) -> None:
         """Note that a target refused an item unrun."""
         self._refusing_until_by_target[id] = now + REFUSED_FOR_S
 
-    def replaced(self, id: str, now: float) -> None:
+    def mark_replaced(self, id: str, now: float) -> None:
         """Note that another target answered at the address of this one."""
         if self._replaced_until_by_target.get(id, 0.0) <= now:
             log.info("target replaced", target=id)
@@ -109,13 +109,13 @@
         refusing_until = self._refusing_until_by_target.get(id, 0.0)
         return refusing_until <= now and self.is_usable(id, now)
 
-    def succeeded(self, target: str, now: float) -> None:
+    def record_success(self, target: str, now: float) -> None:
         """Note a whole answer of ``target``."""
         health = self._health_by_target.get(target)
         if health is not None:
             health.succeeded(now)
 
-    def failed(self, target: Target, error: AttemptError, now: float) -> None:
+    def record_failure(self, target: Target, error: AttemptError, now: float) -> None:
         """Note what became of an attempt; eject the target if that is enough."""
         health = self._health_by_target.setdefault(target.id, Health())
         if health.is_out(now):
@@ -123,11 +123,11 @@
             return
         failed_at = self._failed_at_by_target.get(target.id, now)
         self._failed_at_by_target[target.id] = now
-        if now - failed_at > FAILURES_COUNT_FOR_S:
+        if now - failed_at > FAILURE_WINDOW_S:
             health = self._health_by_target[target.id] = Health()
         if not health.failed(error):
             return
-        out_s = min(health.eject(now), LONGEST_OUT_S)
+        out_s = min(health.eject(now), MAX_EJECTION_S)
         health.out_until = now + out_s
         if isinstance(error, NotSent):
             self.unreachable[target.id] = target.address
@@ -135,22 +135,22 @@
             "target ejected", target=target.id, out_s=out_s, reason=error.reason
         )
 
-    def ended(self, target: Target) -> None:
+    def mark_crashed(self, target: Target) -> None:
         """Leave a target alone that has ended, until something listens there again."""
         listed = self.targets.by_id.get(target.id)
         if listed is None or target.id in self.unreachable:
             return
         self.unreachable[target.id] = target.address
-        self.changed()
+        self.notify_changed()
 
-    def reached(self, target: str) -> None:
+    def mark_reachable(self, target: str) -> None:
         """Note that an unreachable target accepts connections again."""
         was_unreachable = self.unreachable.pop(target, None) is not None
         if self._health_by_target.pop(target, None) is not None or was_unreachable:
             log.info("target is back", target=target)
-            self.changed()
+            self.notify_changed()
 
-    def forget_gone(self) -> None:
+    def discard_removed(self) -> None:
         """Drop what is known of targets that are no longer listed."""
         for id in list(self._health_by_target):
             if id not in self.targets.by_id:
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -155,7 +155,7 @@
         if carriage.offers >= MOST_OFFERS:
             retry_after_s = self._return_after_s(request, now)
             return GivenUp("too many refusals", not_run, retry_after_s)
-        online_s = self._fleet.lengths(service).online_s
+        online_s = self._fleet.run_lengths(service).online_s
         if not_run and self._would_be_cut(service, now):
             # Another instance can answer it whole.
             return GivenUp("its answer would be cut by the stop", not_run, AT_ONCE_S)
@@ -163,12 +163,12 @@
         if carriage.last_event or not not_run:
             # It has begun, or may have: it is moved, and its caller cannot come back.
             left_s = max(left_s, request.route.objective_s)
-        place = place_online_near if self._fleet.far_counts_are_old else place_online
+        place = place_online_near if self._fleet.remote_counts_stale else place_online
         target = place(
             targets,
             self._fleet.occupancy,
             self._fleet.zone,
-            self._fleet.chance,
+            self._fleet.rng,
             lambda one: most_queued(online_s, one.slots, left_s),
         )
         if target is not None:
@@ -189,13 +189,13 @@
 
     def _would_be_cut(self, service: str, now: float) -> bool:
         """Whether the end of a planned stop would cut an answer that begins now."""
-        lengths = self._fleet.lengths(service)
+        lengths = self._fleet.run_lengths(service)
         careful = now >= self._limits.careful_from
         longest_s = lengths.longest_s if careful else 0.0
         return not ends_in_time(lengths.online_s, longest_s, self._limits.until - now)
 
     def _return_after_s(self, request: InboundRequest, now: float) -> float:
-        return return_after_s(request.deadline - now, self._fleet.chance.random())
+        return return_after_s(request.deadline - now, self._fleet.rng.random())
 
     async def _offer(
         self,
@@ -223,7 +223,7 @@
         sent_events = carriage.last_event
         began = asyncio.get_running_loop().time()
         self._fleet.occupancy.add(target.id, online=1)
-        self._fleet.changed()
+        self._fleet.notify_changed()
         self.placed(target.id)
         try:
             error = await self._attempt_unless_held(request, reply, carriage, target)
@@ -234,7 +234,7 @@
             raise
         finally:
             self._fleet.occupancy.add(target.id, online=-1)
-            self._fleet.changed()
+            self._fleet.notify_changed()
         took_s = asyncio.get_running_loop().time() - began
         events = carriage.last_event - sent_events
         if isinstance(error, Lost):
@@ -244,7 +244,7 @@
         if error is not None:
             return error
         self._guard.ran_well(self._mark(request, carriage))
-        lengths = self._fleet.lengths(target.service)
+        lengths = self._fleet.run_lengths(target.service)
         lengths.answered(events, took_s, queued=not at_once)
         return None
 
@@ -332,11 +332,11 @@
             **asked,
         )
         if isinstance(error, TargetRefused) and error.replaced:
-            self._fleet.replaced(target.id, now)
+            self._fleet.mark_replaced(target.id, now)
         if isinstance(error, Withdrawn):
             return
         if not _certainly_not_run(error) or isinstance(error, NotSent):
-            self._fleet.failed(target, error, now)
+            self._fleet.record_failure(target, error, now)
 
     def _after(
         self,
--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -130,8 +130,8 @@
             state.started_at = asyncio.get_running_loop().time()
         self._orders_by_target.setdefault(target.id, {})[state] = one.order
         self._count(target.id, 1)
-        self._fleet.changed()
-        lengths = self._fleet.lengths(target.service)
+        self._fleet.notify_changed()
+        lengths = self._fleet.run_lengths(target.service)
         log.info(
             "item started",
             job=job.entry.id,
@@ -188,7 +188,7 @@
             moves = isinstance(outcome, Renewal | HeldBack)
             error = None if moves else outcome
         self._settle(one, route, target, error, moves, from_event)
-        self._fleet.changed()
+        self._fleet.notify_changed()
 
     def _settle(
         self,
@@ -223,10 +223,10 @@
         if moves or state.status in (DONE, LISTED):
             return
         if error is None:
-            self._fleet.succeeded(target.id, now)
+            self._fleet.record_success(target.id, now)
             self._guard.ran_well(self._mark(one))
             since_s = now - state.started_at if state.started_at else 0.0
-            self._fleet.lengths(target.service).ended(
+            self._fleet.run_lengths(target.service).ended(
                 state.item.tokens, state.progress.event, since_s
             )
             job.complete(state)
@@ -236,11 +236,11 @@
             self._failed(job, state, route, error.status)
             return
         if isinstance(error, TargetRefused) and error.replaced:
-            self._fleet.replaced(target.id, now)
+            self._fleet.mark_replaced(target.id, now)
         elif isinstance(error, TargetRefused) and error.run == NOT_RUN:
-            self._fleet.refused_item(target.id, now)
+            self._fleet.record_item_refusal(target.id, now)
         else:
-            self._fleet.failed(target, error, now)
+            self._fleet.record_failure(target, error, now)
 
     def _failed(
         self,
@@ -261,7 +261,7 @@
     def _start_after(self, state: ItemState, pause_s: float) -> None:
         loop = asyncio.get_running_loop()
         state.not_before = loop.time() + pause_s
-        loop.call_at(state.not_before, self._fleet.changed)
+        loop.call_at(state.not_before, self._fleet.notify_changed)
 
     async def _attempt(
         self, one: Startable, target: Target
@@ -304,7 +304,7 @@
             return outcome
         finally:
             answer.close()
-            self._fleet.lengths(target.service).ran(
+            self._fleet.run_lengths(target.service).ran(
                 state.progress.event - from_event, loop.time() - began
             )
 
--- a/src/caperridge/gateway/jobs/slots.py
+++ b/src/caperridge/gateway/jobs/slots.py
@@ -163,7 +163,7 @@
         route = table.batch_route(job.entry.route) if table is not None else None
         if route is None:
             return 0.0
-        lengths = self._fleet.lengths(route.service_for(state.item.id))
+        lengths = self._fleet.run_lengths(route.service_for(state.item.id))
         return lengths.left_s(state.item.tokens, state.progress.event)
 
     def refresh_dues(self, jobs: Iterable[HeldJob]) -> None:
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -149,7 +149,7 @@
         }
         lengths = [
             [service, *lengths.as_told()]
-            for service, lengths in self._fleet.lengths_by_service.items()
+            for service, lengths in self._fleet.run_lengths_by_service.items()
             if with_lengths
         ]
         return Heartbeat(counts, versions, self.leaving, self._reach.reached, lengths)
@@ -221,7 +221,7 @@
         """Tell of the counts that were heard in one turn, once."""
         if self._heard_counts:
             self._heard_counts = False
-            self._fleet.changed()
+            self._fleet.notify_changed()
 
     def _heartbeat(self, peer: str, beat: Heartbeat) -> None:
         news = self._mesh.roster.reaches_store(peer, beat.store_reached)
@@ -232,7 +232,7 @@
         if self._fleet.occupancy.told_all(peer, counts):
             self._heard_counts = True
         for service, *lengths in beat.lengths:
-            self._fleet.lengths(service).told(lengths)
+            self._fleet.run_lengths(service).told(lengths)
         for table, version in beat.versions.items():
             self._peer_has(peer, table, version)
 
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -241,14 +241,14 @@
 
     def _peer_lost(self, member: Member) -> None:
         self.fleet.occupancy.forget(member.id)
-        self.fleet.changed()
+        self.fleet.notify_changed()
 
     # Start and stop.
 
     @property
     def ready(self) -> bool:
         """Whether the instance takes callers."""
-        known = self.configuration.table is not None and self.fleet.known
+        known = self.configuration.table is not None and self.fleet.targets_known
         return known and not self.edge.closing
 
     async def start(self) -> None:
@@ -333,12 +333,12 @@
             if not self._stood_still(watch.look(now - due)):
                 self.mesh.check()
             due = now + TICK_S
-            self.fleet.far_counts_are_old = self.mesh.large
+            self.fleet.remote_counts_stale = self.mesh.large
             self.recalls.forget_old(now)
             gone = self.fleet.targets.expire(now)
             if gone:
                 log.info("targets gone after an outage", targets=gone)
-                self.fleet.changed()
+                self.fleet.notify_changed()
             self.metrics.peers_alive.set(len(self.mesh.alive()))
             await asyncio.sleep(TICK_S)
 
@@ -375,7 +375,7 @@
                 if id not in self.fleet.targets.by_id:
                     self.fleet.unreachable.pop(id, None)
                 elif await self.client.reaches(address):
-                    self.fleet.reached(id)
+                    self.fleet.mark_reachable(id)
 
 
 def _listener(application: Any, address: str) -> Listener:
--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -200,7 +200,7 @@
         runs = [LostRun(*run) for run in news.runs]
         listed = self._fleet.targets.by_id.get(news.target)
         if listed is not None:
-            self._fleet.ended(listed)
+            self._fleet.mark_crashed(listed)
         self._take_end(news.target, runs, peer)
 
     def _take_end(self, target: str, runs: list[LostRun], reported_by: str) -> None:
@@ -218,7 +218,7 @@
         """Exonerate requests that ended well here a short while ago."""
         sound = [run for run in runs if self._is_sound(run)]
         if sound and self._mesh.large:
-            delay_s = EXONERATE_WITHIN_S * self._fleet.chance.random()
+            delay_s = EXONERATE_WITHIN_S * self._fleet.rng.random()
             asyncio.get_running_loop().call_later(delay_s, self._exonerate, sound)
         elif sound:
             self._exonerate(sound)
--- a/src/caperridge/gateway/table_rows.py
+++ b/src/caperridge/gateway/table_rows.py
@@ -83,9 +83,9 @@
             if target is not None and self._fleet.targets.named(name) is None:
                 self.gone(target)
             log.info("target gone", target=name, source=source, version=row.version)
-        self._fleet.known = True
-        self._fleet.forget_gone()
-        self._fleet.changed()
+        self._fleet.targets_known = True
+        self._fleet.discard_removed()
+        self._fleet.notify_changed()
         self.taken(self._dialect.targets_table)
 
     def _target(self, row: StoredRow, source: str) -> None:
--- a/src/caperridge/gateway/target_ends.py
+++ b/src/caperridge/gateway/target_ends.py
@@ -145,7 +145,7 @@
                 await asyncio.sleep(pause_s + GATHER_S)
                 if await self.is_refused(losses.target.address):
                     self._end(losses.target)
-                    self._fleet.ended(losses.target)
+                    self._fleet.mark_crashed(losses.target)
                     return
             losses.left.clear()
         finally:
--- a/src/caperridge/gateway/unowned.py
+++ b/src/caperridge/gateway/unowned.py
@@ -90,7 +90,7 @@
             error = answer.err_value
             if isinstance(error, TargetRefused) and error.replaced:
                 now = asyncio.get_running_loop().time()
-                self._fleet.replaced(target.id, now)
+                self._fleet.mark_replaced(target.id, now)
             return
         try:
             load = self._dialect.load(answer.ok_value)
@@ -117,11 +117,11 @@
             return
         log.info("orphaned runs", target=news.target, count=news.count, source=peer)
         self._fleet.occupancy.told(NOBODY, news.target, Count(news.count))
-        self._fleet.changed()
+        self._fleet.notify_changed()
 
     def _expire(self, now: float) -> None:
         for target, told_at in list(self._told_at_by_target.items()):
             if now - told_at > KEPT_S:
                 del self._told_at_by_target[target]
                 self._fleet.occupancy.told(NOBODY, target, Count())
-                self._fleet.changed()
+                self._fleet.notify_changed()
--- a/tests/gateway/test_answers_in_a_stop.py
+++ b/tests/gateway/test_answers_in_a_stop.py
@@ -224,9 +224,9 @@
     await world.ready()
     now = asyncio.get_running_loop().time()
     instance.edge.leave(now + 60.0)
-    instance.fleet.lengths("model").online_s = 20.0
+    instance.fleet.run_lengths("model").online_s = 20.0
     assert (await world.ask(instance, "/once/1", "r1")).data == runner.text("r1")
-    instance.fleet.lengths("model").online_s = 50.0
+    instance.fleet.run_lengths("model").online_s = 50.0
     refused = await world.ask(instance, "/once/2", "r2")
     assert refused.status == 503
     assert float(refused.headers["Retry-After"]) < 1.0
@@ -264,6 +264,6 @@
     instance = await world.add_instance()
     await world.ready()
     now = asyncio.get_running_loop().time()
-    instance.fleet.lengths("model").longest_s = 59.0
+    instance.fleet.run_lengths("model").longest_s = 59.0
     instance.edge.leave(now + 60.0, careful_from=now + 50.0)
     assert (await world.ask(instance, "/once/1", "r1")).data == runner.text("r1")
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from caperridge.gateway.events import EventSplitter
-from caperridge.gateway.fleet import FAILURES_COUNT_FOR_S, LONGEST_OUT_S, Fleet
+from caperridge.gateway.fleet import FAILURE_WINDOW_S, MAX_EJECTION_S, Fleet
 from caperridge.gateway.jobs.asking import Opening, split
 from caperridge.gateway.jobs.broker import GRANT_S, Members, SlotBroker, Want
 from caperridge.gateway.occupancy import Count, Occupancy
@@ -364,15 +364,15 @@
     fleet.targets.put(target("t"))
     fleet.targets.put(target("u"))
     for _ in range(12):
-        fleet.failed(target("t"), Lost("it fell silent"), 0.0)
+        fleet.record_failure(target("t"), Lost("it fell silent"), 0.0)
     assert [one.id for one in fleet.usable("model", 0.9)] == ["u"]
     assert {one.id for one in fleet.usable("model", 1.1)} == {"t", "u"}
     now = 1.1
     for _ in range(6):
-        fleet.failed(target("t"), Lost("it fell silent"), now)
+        fleet.record_failure(target("t"), Lost("it fell silent"), now)
         assert not fleet.is_usable("t", now + 0.1)
-        assert fleet.is_usable("t", now + LONGEST_OUT_S + 0.1)
-        now += LONGEST_OUT_S + 0.1
+        assert fleet.is_usable("t", now + MAX_EJECTION_S + 0.1)
+        now += MAX_EJECTION_S + 0.1
 
 
 def test_failures_far_apart_eject_no_target(chance: random.Random) -> None:
@@ -380,17 +380,17 @@
     fleet = Fleet("me", "a", chance)
     fleet.targets.put(target("t"))
     for number in range(10):
-        now = number * (FAILURES_COUNT_FOR_S + 1.0)
-        fleet.failed(target("t"), Lost("reset"), now)
+        now = number * (FAILURE_WINDOW_S + 1.0)
+        fleet.record_failure(target("t"), Lost("reset"), now)
         assert fleet.is_usable("t", now + 0.1)
-    fleet.failed(target("t"), Lost("reset"), now + 1.0)
+    fleet.record_failure(target("t"), Lost("reset"), now + 1.0)
     assert not fleet.is_usable("t", now + 1.1)
 
 
 def test_when_all_targets_are_ejected_each_is_tried(chance: random.Random) -> None:
     fleet = Fleet("me", "a", chance)
     fleet.targets.put(target("t"))
-    fleet.failed(target("t"), NotSent("refused"), 0.0)
+    fleet.record_failure(target("t"), NotSent("refused"), 0.0)
     assert [one.id for one in fleet.usable("model", 0.1)] == ["t"]
-    fleet.reached("t")
+    fleet.mark_reachable("t")
     assert fleet.is_usable("t", 0.1)
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -73,7 +73,7 @@
     telling = await world.add_instance(zone="a")
     await world.ready()
     telling.fleet.occupancy.add("i-0", online=2)
-    telling.fleet.changed()
+    telling.fleet.notify_changed()
     telling.news.beat = lambda: None
     hearing = await world.add_instance(zone="b")
     own = telling.settings.instance
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -124,7 +124,7 @@
     assert instance.fleet.occupancy.at("i-0").online == 1
     assert flushed == []
     instance.fleet.occupancy.add("i-0", online=1)
-    instance.fleet.changed()
+    instance.fleet.notify_changed()
     await asyncio.sleep(0)
     assert flushed == [None]
 
@@ -133,7 +133,7 @@
     instance: GatewayInstance, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each learns them by itself; 45 bytes a service would go out at each beat."""
-    instance.fleet.lengths("model").online_s = 0.7
+    instance.fleet.run_lengths("model").online_s = 0.7
     sent: list[object] = []
     monkeypatch.setattr(instance.mesh, "send_all", sent.append)
     monkeypatch.setattr(instance.mesh, "send_near", sent.append)
--- a/tests/gateway/test_requests_that_end_targets.py
+++ b/tests/gateway/test_requests_that_end_targets.py
@@ -588,7 +588,7 @@
     for number, instance in enumerate(fleet.instances):
         assert (await fleet.ask(instance, "/once/1", f"b{number}", b"popular")).whole
     for number, instance in enumerate(fleet.instances):
-        instance.fleet.chance = FixedChance(0.9 if number else 0.0)
+        instance.fleet.rng = FixedChance(0.9 if number else 0.0)
     heard: list[str] = []
     for instance in fleet.instances:
         take = instance.mesh._handlers_by_kind[SoundRuns]
--- a/tests/gateway/test_started_again.py
+++ b/tests/gateway/test_started_again.py
@@ -52,13 +52,13 @@
 
 def test_nothing_of_an_earlier_life_counts_for_a_target(fleet: Fleet) -> None:
     fleet.targets.put(life(1))
-    fleet.failed(life(1), WrongAnswer("an event out of order"), 0.0)
-    fleet.replaced("t@1", 0.0)
-    fleet.refused_item("t@1", 0.0)
+    fleet.record_failure(life(1), WrongAnswer("an event out of order"), 0.0)
+    fleet.mark_replaced("t@1", 0.0)
+    fleet.record_item_refusal("t@1", 0.0)
     fleet.occupancy.told("peer", "t@1", Count(online=4))
     assert not fleet.takes_items("t@1", 0.1)
     fleet.targets.put(life(2))
-    fleet.forget_gone()
+    fleet.discard_removed()
     assert fleet.takes_items("t@2", 0.1)
     assert [target.id for target in fleet.usable("model", 0.1)] == ["t@2"]
     # A peer that has not heard of the new life yet tells of the old one.
@@ -73,7 +73,7 @@
     await world.ready()
     [target] = instance.fleet.targets.by_id.values()
     now = asyncio.get_running_loop().time()
-    instance.fleet.replaced(target.id, now)
+    instance.fleet.mark_replaced(target.id, now)
     instance.fleet.occupancy.told("peer", target.id, Count(online=100))
     world.list_runner(runner, born=BORN + 5)
     await until(lambda: target.id not in instance.fleet.targets.by_id)
