--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -174,7 +174,7 @@
         if target is not None:
             return target
         retry_after_s = self._return_after_s(request, now)
-        online = sum(self._fleet.occupancy.at(one.id).online for one in targets)
+        online = sum(self._fleet.occupancy.total_at(one.id).online for one in targets)
         log.info(
             "no room",
             request=request.id,
@@ -206,7 +206,7 @@
     ) -> AttemptError | None:
         """Send the request to ``target``; None if its answer has gone out whole."""
         carriage.offers += 1
-        count = self._fleet.occupancy.at(target.id)
+        count = self._fleet.occupancy.total_at(target.id)
         log.info(
             "request placed",
             request=request.id,
--- a/src/caperridge/gateway/jobs/broker.py
+++ b/src/caperridge/gateway/jobs/broker.py
@@ -217,7 +217,7 @@
                 del free_by_id[id]
                 continue
             pressing = self._is_pressing(instance, service, store_now)
-            spare = 0 if pressing else spare_slots(target, occupancy.at(id))
+            spare = 0 if pressing else spare_slots(target, occupancy.total_at(id))
             if free_by_id[id] <= spare:
                 del free_by_id[id]
                 continue
@@ -238,7 +238,7 @@
             if self._full_until_by_target.get(target.id, 0.0) > now:
                 continue
             promised = sum(1 for grant in self._grants if grant.target == target.id)
-            free = target.slots - occupancy.at(target.id).total - promised
+            free = target.slots - occupancy.total_at(target.id).total - promised
             if free > 0:
                 free_by_id[target.id] = free
                 targets_by_id[target.id] = target
--- a/src/caperridge/gateway/jobs/granting.py
+++ b/src/caperridge/gateway/jobs/granting.py
@@ -198,7 +198,7 @@
             granter = granters[target.id]
             if granter is None or not self._fleet.takes_items(target.id, now):
                 continue
-            count = self._fleet.occupancy.at(target.id)
+            count = self._fleet.occupancy.total_at(target.id)
             free = target.slots - count.total - spare_slots(target, count)
             near = target.availability_zone == self._mesh.zone
             openings.append(Opening(granter, free, near))
--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -161,7 +161,7 @@
         """Change the number of items at ``target``, and tell what is due last there."""
         orders = self._orders_by_target[target]
         self._fleet.occupancy.add(target, items=items)
-        self._fleet.occupancy.items_due(target, max(orders.values(), default=0.0))
+        self._fleet.occupancy.set_latest_due(target, max(orders.values(), default=0.0))
         if not orders:
             del self._orders_by_target[target]
 
--- a/src/caperridge/gateway/jobs/recalls.py
+++ b/src/caperridge/gateway/jobs/recalls.py
@@ -54,7 +54,7 @@
         """Recall slots of a target whose counts changed, if they are too few."""
         target = self._fleet.targets.by_id.get(id)
         occupancy = self._fleet.occupancy
-        if target is None or occupancy.at(id).total <= target.slots:
+        if target is None or occupancy.total_at(id).total <= target.slots:
             return
         if not self._mesh.large or not self._granting.grants(id):
             return
--- a/src/caperridge/gateway/jobs/slots.py
+++ b/src/caperridge/gateway/jobs/slots.py
@@ -85,7 +85,7 @@
 
     def _cancel(self, ones: list[Startable], count: int, target: str) -> None:
         """Have ``count`` of these items give way, with those that do already."""
-        at_target = self._fleet.occupancy.at(target)
+        at_target = self._fleet.occupancy.total_at(target)
         count -= sum(1 for one in ones if one.state.cancelling)
         running_on = [one for one in ones if not one.state.cancelling]
         for one in first_to_cancel(running_on)[: max(0, count)]:
@@ -100,11 +100,13 @@
 
     def is_full(self, target: Target) -> bool:
         """Whether ``target`` has no free slot, by what this instance knows."""
-        return self._fleet.occupancy.at(target.id).total >= target.slots
+        return self._fleet.occupancy.total_at(target.id).total >= target.slots
 
     def _within_slots(self, id: str) -> bool:
         target = self._fleet.targets.by_id.get(id)
-        return target is None or self._fleet.occupancy.at(id).total <= target.slots
+        return (
+            target is None or self._fleet.occupancy.total_at(id).total <= target.slots
+        )
 
     def wants(self, jobs: Iterable[HeldJob], now: float) -> dict[str, Want]:
         """Return what could start at ``now``, by service.
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -202,7 +202,7 @@
 
     def _tell_far_holders(self, target: str, told: list[Any]) -> None:
         """Tell instances elsewhere that have items at ``target``; they may give way."""
-        for instance in self._fleet.occupancy.holders_of_items(target):
+        for instance in self._fleet.occupancy.item_counts_by_instance(target):
             member = self._mesh.members_by_id.get(instance)
             if member is not None and not self._mesh.is_near(member):
                 self._mesh.send(instance, Counts([told]))
@@ -211,7 +211,7 @@
         occupancy = self._fleet.occupancy
         for target, *fields in news.counts:
             count = Count(*fields)
-            before = occupancy.told(peer, target, count)
+            before = occupancy.update_peer_count(peer, target, count)
             if count.items > before.items:
                 self.item_started(peer, target)
             self.count_told(target)
@@ -229,7 +229,7 @@
             self._reach.recheck()
         self._mesh.leaves(peer, beat.leaving)
         counts = {target: Count(*count) for target, *count in beat.counts}
-        if self._fleet.occupancy.told_all(peer, counts):
+        if self._fleet.occupancy.update_peer_counts(peer, counts):
             self._heard_counts = True
         for service, *lengths in beat.lengths:
             self._fleet.run_lengths(service).told(lengths)
--- a/src/caperridge/gateway/occupancy.py
+++ b/src/caperridge/gateway/occupancy.py
@@ -31,7 +31,7 @@
         return self.online + self.items
 
 
-NOTHING = Count()
+NO_REQUESTS = Count()
 
 
 class Occupancy:
@@ -45,62 +45,64 @@
 
     def add(self, target: str, online: int = 0, items: int = 0) -> None:
         """Change the own counts at ``target`` by these differences."""
-        before = self._counts_by_instance[self.own].get(target, NOTHING)
+        before = self._counts_by_instance[self.own].get(target, NO_REQUESTS)
         count = Count(before.online + online, before.items + items, before.latest_due)
         self._put(self.own, target, count)
         self._changed.add(target)
 
-    def items_due(self, target: str, latest_due: float) -> None:
+    def set_latest_due(self, target: str, latest_due: float) -> None:
         """Say when the own item at ``target`` is due that is due last."""
         count = self._counts_by_instance[self.own].get(target)
         if count is not None:
             count.latest_due = latest_due
 
-    def told(self, instance: str, target: str, count: Count) -> Count:
+    def update_peer_count(self, instance: str, target: str, count: Count) -> Count:
         """Take what a peer says it has at ``target``; return what it had before."""
         if instance == self.own:
             return count
         return self._put(instance, target, count)
 
-    def told_all(self, instance: str, counts_by_target: dict[str, Count]) -> bool:
+    def update_peer_counts(
+        self, instance: str, counts_by_target: dict[str, Count]
+    ) -> bool:
         """Take all that a peer has; return whether that was news."""
         before = self._counts_by_instance.get(instance, {})
         if instance == self.own or before == counts_by_target:
             return False
         for target in list(before):
             if target not in counts_by_target:
-                self._put(instance, target, NOTHING)
+                self._put(instance, target, NO_REQUESTS)
         for target, count in counts_by_target.items():
             self._put(instance, target, count)
         return True
 
-    def forget(self, instance: str) -> None:
+    def remove_peer(self, instance: str) -> None:
         """Drop what a peer said that is not heard from any more."""
-        self.told_all(instance, {})
+        self.update_peer_counts(instance, {})
         if instance != self.own:
             self._counts_by_instance.pop(instance, None)
 
-    def at(self, target: str) -> Count:
+    def total_at(self, target: str) -> Count:
         """Return the sum of all instances at ``target``."""
-        return self._sums_by_target.get(target, NOTHING)
+        return self._sums_by_target.get(target, NO_REQUESTS)
 
-    def of(self, instance: str, target: str) -> Count:
+    def count_of(self, instance: str, target: str) -> Count:
         """Return what one instance has at ``target``."""
-        return self._counts_by_instance.get(instance, {}).get(target, NOTHING)
+        return self._counts_by_instance.get(instance, {}).get(target, NO_REQUESTS)
 
     def own_at(self, target: str) -> Count:
         """Return what this instance has at ``target``."""
-        return self._counts_by_instance[self.own].get(target, NOTHING)
+        return self._counts_by_instance[self.own].get(target, NO_REQUESTS)
 
     def own_counts(self) -> dict[str, Count]:
         """Return what this instance has, by target."""
         return dict(self._counts_by_instance[self.own])
 
-    def holders_of_items(self, target: str) -> dict[str, Count]:
+    def item_counts_by_instance(self, target: str) -> dict[str, Count]:
         """Return who has items at ``target``."""
         found: dict[str, Count] = {}
         for instance, counts in self._counts_by_instance.items():
-            count = counts.get(target, NOTHING)
+            count = counts.get(target, NO_REQUESTS)
             if count.items > 0:
                 found[instance] = count
         return found
@@ -120,12 +122,12 @@
         counts = self._counts_by_instance.get(instance)
         if counts is None:
             counts = self._counts_by_instance[instance] = {}
-        before = counts.get(target, NOTHING)
+        before = counts.get(target, NO_REQUESTS)
         if count.online or count.items:
             counts[target] = count
         else:
             counts.pop(target, None)
-        total = self._sums_by_target.get(target, NOTHING)
+        total = self._sums_by_target.get(target, NO_REQUESTS)
         online = total.online - before.online + count.online
         items = total.items - before.items + count.items
         if online or items:
--- a/src/caperridge/gateway/placement.py
+++ b/src/caperridge/gateway/placement.py
@@ -104,7 +104,7 @@
     most_queued: MostQueued,
 ) -> Cost | None:
     """Return what speaks against ``target``; None if there is no room."""
-    count = occupancy.at(target.id)
+    count = occupancy.total_at(target.id)
     if count.total < target.slots:
         return Cost(0 + elsewhere, count.total / target.slots, tie)
     if count.online < target.slots:
@@ -125,10 +125,10 @@
     Instances with items there yield in an order that all work out alike: who has the
     item that is due last begins. Those that need not yield are left out.
     """
-    over = occupancy.at(target.id).total - target.slots
+    over = occupancy.total_at(target.id).total - target.slots
     if over <= 0:
         return {}
-    holders = occupancy.holders_of_items(target.id)
+    holders = occupancy.item_counts_by_instance(target.id)
     order = sorted(
         holders,
         key=lambda one: (-holders[one].latest_due, score(target.id, one)),
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -240,7 +240,7 @@
         ]
 
     def _peer_lost(self, member: Member) -> None:
-        self.fleet.occupancy.forget(member.id)
+        self.fleet.occupancy.remove_peer(member.id)
         self.fleet.notify_changed()
 
     # Start and stop.
--- a/src/caperridge/gateway/state.py
+++ b/src/caperridge/gateway/state.py
@@ -30,8 +30,8 @@
             id: {
                 "address": target.address,
                 "draining": target.draining,
-                "online": instance.fleet.occupancy.at(id).online,
-                "items": instance.fleet.occupancy.at(id).items,
+                "online": instance.fleet.occupancy.total_at(id).online,
+                "items": instance.fleet.occupancy.total_at(id).items,
                 "unreachable": id in instance.fleet.unreachable,
             }
             for id, target in instance.fleet.targets.by_id.items()
--- a/src/caperridge/gateway/table_rows.py
+++ b/src/caperridge/gateway/table_rows.py
@@ -78,9 +78,9 @@
                 self._target(row, source)
                 continue
             name = row.key.key
-            target = self._fleet.targets.named(name)
+            target = self._fleet.targets.find_by_name(name)
             self._fleet.targets.remove(name, now)
-            if target is not None and self._fleet.targets.named(name) is None:
+            if target is not None and self._fleet.targets.find_by_name(name) is None:
                 self.gone(target)
             log.info("target gone", target=name, source=source, version=row.version)
         self._fleet.targets_known = True
--- a/src/caperridge/gateway/targets.py
+++ b/src/caperridge/gateway/targets.py
@@ -71,17 +71,17 @@
         """All requests there."""
         return self.running + self.waiting
 
-    def is_of(self, target: Target) -> bool:
+    def may_be_from(self, target: Target) -> bool:
         """Whether this may be the word of this life of ``target``."""
         if not self.started_ms or target.id == target.name:
             return True
-        return target.id == life_of(target.name, self.started_ms)
+        return target.id == incarnation_id(target.name, self.started_ms)
 
 
-def life_of(name: str, started_ms: int) -> str:
+def incarnation_id(name: str, started_ms: int) -> str:
     """Return the id of the life of ``name`` that began then.
 
-    >>> life_of("i-7f3a", 1790000000000)
+    >>> incarnation_id("i-7f3a", 1790000000000)
     'i-7f3a@1790000000000'
     """
     return f"{name}@{started_ms}"
@@ -131,7 +131,7 @@
         Right after an outage of the store the entry may merely have lapsed, so the
         target is kept until it must have been back.
         """
-        target = self.named(name)
+        target = self.find_by_name(name)
         if target is None:
             return
         if self.may_have_lapsed(now) and not target.draining:
@@ -145,12 +145,12 @@
 
         Its entry did not lapse: something else was written in its place.
         """
-        target = self.named(name)
+        target = self.find_by_name(name)
         if target is not None:
             self._forget(target.id)
         return target is not None
 
-    def named(self, name: str) -> Target | None:
+    def find_by_name(self, name: str) -> Target | None:
         """Return the target that is listed under ``name``."""
         return self.by_id.get(self._id_by_name.get(name, ""))
 
--- a/src/caperridge/gateway/unowned.py
+++ b/src/caperridge/gateway/unowned.py
@@ -97,31 +97,34 @@
         except DecodeError as error:
             log.info("load not read", target=target.id, reason=str(error))
             return
-        if not load.is_of(target):
+        if not load.may_be_from(target):
             return  # it has started again, and its entry will say so
         occupancy = self._fleet.occupancy
-        known = occupancy.at(target.id).total - occupancy.of(NOBODY, target.id).total
+        known = (
+            occupancy.total_at(target.id).total
+            - occupancy.count_of(NOBODY, target.id).total
+        )
         unowned = max(0, load.total - known)
         # A run that just ended may still be in one answer; it is not in the next.
         lasting = min(unowned, self._last_by_target.get(target.id, 0))
         self._last_by_target[target.id] = unowned
-        if lasting or occupancy.of(NOBODY, target.id).total:
+        if lasting or occupancy.count_of(NOBODY, target.id).total:
             news = UnownedRuns(target.id, lasting)
             self._mesh.send_near(news)
             self._told(self._mesh.instance, news)
 
     def _told(self, peer: str, news: UnownedRuns) -> None:
-        before = self._fleet.occupancy.of(NOBODY, news.target).total
+        before = self._fleet.occupancy.count_of(NOBODY, news.target).total
         self._told_at_by_target[news.target] = asyncio.get_running_loop().time()
         if before == news.count:
             return
         log.info("orphaned runs", target=news.target, count=news.count, source=peer)
-        self._fleet.occupancy.told(NOBODY, news.target, Count(news.count))
+        self._fleet.occupancy.update_peer_count(NOBODY, news.target, Count(news.count))
         self._fleet.notify_changed()
 
     def _expire(self, now: float) -> None:
         for target, told_at in list(self._told_at_by_target.items()):
             if now - told_at > KEPT_S:
                 del self._told_at_by_target[target]
-                self._fleet.occupancy.told(NOBODY, target, Count())
+                self._fleet.occupancy.update_peer_count(NOBODY, target, Count())
                 self._fleet.notify_changed()
--- a/src/caperridge/platform/dialect.py
+++ b/src/caperridge/platform/dialect.py
@@ -26,7 +26,7 @@
     Service,
     Share,
 )
-from caperridge.gateway.targets import Target, TargetLoad, life_of
+from caperridge.gateway.targets import Target, TargetLoad, incarnation_id
 
 _KINDS = {"safe": SAFE, "unsafe": UNSAFE, "streaming": STREAMING, "batch": BATCH}
 _COMPLETED = "completed"
@@ -110,7 +110,7 @@
         fields.whole("seq", 0, MOST_WHOLE)
         born = self._born(fields)
         fields.check()
-        return target.replace(id=life_of(name, born)) if born else target
+        return target.replace(id=incarnation_id(name, born)) if born else target
 
     def _born(self, fields: Fields) -> int:
         """Return when a target started, in ms; 0 if it does not say."""
--- a/tests/adapter/test_entries.py
+++ b/tests/adapter/test_entries.py
@@ -149,9 +149,9 @@
     target = DIALECT.target("i-1", orjson.dumps(ENTRY | {"born": BORN}))
     load = DIALECT.load(orjson.dumps(LOAD | {"born": BORN}))
     assert load.total == 4
-    assert load.is_of(target)
-    assert not DIALECT.load(orjson.dumps(LOAD | {"born": BORN + 1})).is_of(target)
-    assert DIALECT.load(orjson.dumps(LOAD)).is_of(target)
+    assert load.may_be_from(target)
+    assert not DIALECT.load(orjson.dumps(LOAD | {"born": BORN + 1})).may_be_from(target)
+    assert DIALECT.load(orjson.dumps(LOAD)).may_be_from(target)
 
 
 ROWS = [
--- a/tests/gateway/test_contacts.py
+++ b/tests/gateway/test_contacts.py
@@ -238,9 +238,9 @@
     relay._deliver(
         [member.id, member.incarnation, encode_body(Counts([["i-0", 3, 0]]))]
     )
-    assert near.fleet.occupancy.of(member.id, "i-0").online == 3
+    assert near.fleet.occupancy.count_of(member.id, "i-0").online == 3
     relay._relayed_heartbeats("", sign)
-    assert near.fleet.occupancy.of(member.id, "i-0").online == 1
+    assert near.fleet.occupancy.count_of(member.id, "i-0").online == 1
     heard_at = member.heard_at
     relay._relayed_heartbeats("", sign)
     assert member.heard_at > heard_at
--- a/tests/gateway/test_crowded_targets.py
+++ b/tests/gateway/test_crowded_targets.py
@@ -54,5 +54,5 @@
 
 def _tell_online(instance, target: str, online: int) -> None:
     """Have the instance hear of online requests that others have at ``target``."""
-    instance.fleet.occupancy.told("others", target, Count(online))
-    instance.fleet.changed()
+    instance.fleet.occupancy.update_peer_count("others", target, Count(online))
+    instance.fleet.notify_changed()
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -50,14 +50,14 @@
     near, far = target("near"), target("far", "b")
     both = [far, near]
     assert place_online(both, occupancy, "a", chance, three) == near
-    occupancy.told("peer", "near", Count(2, 0))
+    occupancy.update_peer_count("peer", "near", Count(2, 0))
     assert place_online(both, occupancy, "a", chance, three) == far
-    occupancy.told("peer", "far", Count(1, 1))
+    occupancy.update_peer_count("peer", "far", Count(1, 1))
     assert place_online(both, occupancy, "a", chance, three) == far
-    occupancy.told("peer", "far", Count(3, 0))
+    occupancy.update_peer_count("peer", "far", Count(3, 0))
     assert place_online(both, occupancy, "a", chance, three) == near
-    occupancy.told("peer", "far", Count(5, 0))
-    occupancy.told("peer", "near", Count(5, 0))
+    occupancy.update_peer_count("peer", "far", Count(5, 0))
+    occupancy.update_peer_count("peer", "near", Count(5, 0))
     assert place_online(both, occupancy, "a", chance, three) is None
 
 
@@ -68,12 +68,12 @@
     near = target("near")
     far = [target(f"far-{number}", "b", slots=8) for number in range(6)]
     for number, one in enumerate(far):
-        occupancy.told("peer", one.id, Count(number, 0))
+        occupancy.update_peer_count("peer", one.id, Count(number, 0))
     all_targets = [near, *far]
     assert place_online_near(all_targets, occupancy, "a", chance, three) == near
-    occupancy.told("peer", "near", Count(1, 1))
+    occupancy.update_peer_count("peer", "near", Count(1, 1))
     assert place_online_near(all_targets, occupancy, "a", chance, three) == near
-    occupancy.told("peer", "near", Count(2, 0))
+    occupancy.update_peer_count("peer", "near", Count(2, 0))
     chosen = collections.Counter(
         place_online_near(all_targets, occupancy, "a", chance, three).id
         for _ in range(600)
@@ -87,10 +87,10 @@
 ) -> None:
     targets = [target(f"far-{number}", "b") for number in range(9)]
     for one in targets[1:]:
-        occupancy.told("peer", one.id, Count(5, 0))
+        occupancy.update_peer_count("peer", one.id, Count(5, 0))
     for _ in range(50):
         assert place_online_near(targets, occupancy, "a", chance, three) == targets[0]
-    occupancy.told("peer", targets[0].id, Count(5, 0))
+    occupancy.update_peer_count("peer", targets[0].id, Count(5, 0))
     assert place_online_near(targets, occupancy, "a", chance, three) is None
 
 
@@ -100,9 +100,9 @@
     for name, view in views.items():
         own = counts[name]
         view.add("t", online=own.online, items=own.items)
-        view.items_due("t", own.latest_due)
+        view.set_latest_due("t", own.latest_due)
         for other, count in counts.items():
-            view.told(other, "t", count)
+            view.update_peer_count(other, "t", count)
     cancelled = {
         name: items_to_cancel(target("t", slots=3), view)
         for name, view in views.items()
@@ -128,9 +128,9 @@
     for name in names:
         view = Occupancy(name)
         view.add("t", online=counts[name].online, items=counts[name].items)
-        view.items_due("t", counts[name].latest_due)
+        view.set_latest_due("t", counts[name].latest_due)
         for other, count in counts.items():
-            view.told(other, "t", count)
+            view.update_peer_count(other, "t", count)
         cancelled += items_to_cancel(target("t", slots=slots), view)
     total = sum(count.total for count in counts.values())
     items = sum(count.items for count in counts.values())
@@ -138,12 +138,12 @@
 
 
 def test_a_peer_that_is_forgotten_leaves_no_counts(occupancy: Occupancy) -> None:
-    occupancy.told("peer", "t", Count(2, 1))
-    assert occupancy.told_all("peer", {"u": Count(0, 1)})
-    assert not occupancy.told_all("peer", {"u": Count(0, 1)})
-    assert (occupancy.at("t").total, occupancy.at("u").total) == (0, 1)
-    occupancy.forget("peer")
-    assert occupancy.at("u").total == 0
+    occupancy.update_peer_count("peer", "t", Count(2, 1))
+    assert occupancy.update_peer_counts("peer", {"u": Count(0, 1)})
+    assert not occupancy.update_peer_counts("peer", {"u": Count(0, 1)})
+    assert (occupancy.total_at("t").total, occupancy.total_at("u").total) == (0, 1)
+    occupancy.remove_peer("peer")
+    assert occupancy.total_at("u").total == 0
 
 
 @pytest.fixture
@@ -162,7 +162,7 @@
     assert [grant.instance for grant in grants] == ["soon", "later"]
     assert broker.grant(one, occupancy, 10.0, 0.01) == []
     broker.used("soon", "t")
-    occupancy.told("soon", "t", Count(0, 1))
+    occupancy.update_peer_count("soon", "t", Count(0, 1))
     assert broker.grant(one, occupancy, 10.0, 0.02) == []
     assert len(broker.grant(one, occupancy, 10.0, GRANT_S + 0.03)) == 1
 
@@ -188,7 +188,7 @@
     granted: int,
 ) -> None:
     broker.wants("peer", {"model": Want(8, due)})
-    occupancy.told("others", "t", Count(online, items))
+    occupancy.update_peer_count("others", "t", Count(online, items))
     grants = broker.grant([target("t", slots=8)], occupancy, store_now=10.0, now=0.0)
     assert len(grants) == granted
 
@@ -197,8 +197,8 @@
     broker: SlotBroker, occupancy: Occupancy
 ) -> None:
     broker.wants("peer", {"model": Want(8, 30.0)})
-    occupancy.told("others", "crowded", Count(6))
-    occupancy.told("others", "calm", Count(0, 7))
+    occupancy.update_peer_count("others", "crowded", Count(6))
+    occupancy.update_peer_count("others", "calm", Count(0, 7))
     both = [target("crowded", slots=8), target("calm", slots=8)]
     grants = broker.grant(both, occupancy, store_now=10.0, now=0.0)
     assert sorted(grant.target for grant in grants) == ["calm", "crowded"]
--- a/tests/gateway/test_fresh_counts.py
+++ b/tests/gateway/test_fresh_counts.py
@@ -15,7 +15,7 @@
     slots = instance.fleet.targets.by_id["i-0"].slots
 
     def hear() -> None:
-        occupancy.told("a peer", "i-0", Count(online=slots))
+        occupancy.update_peer_count("a peer", "i-0", Count(online=slots))
 
     instance.edge.hear_peers = hear
     for number in range(4):
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -258,7 +258,7 @@
     monkeypatch.undo()
     (result,) = await listed(world, instance, "j1", 1)
     assert result["state"] == "completed"
-    assert instance.fleet.occupancy.at(runner.id).total == 0
+    assert instance.fleet.occupancy.total_at(runner.id).total == 0
 
 
 async def test_a_holder_that_was_replaced_lists_nothing_more(world: World) -> None:
@@ -385,7 +385,7 @@
     runner = await world.add_runner(slots=1)
     instance = await world.add_instance()
     await world.ready()
-    instance.fleet.occupancy.told("elsewhere", runner.id, Count(1, 0))
+    instance.fleet.occupancy.update_peer_count("elsewhere", runner.id, Count(1, 0))
     declined = []
     instance.mesh.send = lambda peer, message: declined.append(message)
     instance.keeper._granted("granter", SlotGrant(runner.id))
@@ -427,7 +427,7 @@
     runner.leftover = 2
     instance = await world.add_instance()
     await world.ready()
-    await until(lambda: instance.fleet.occupancy.at(runner.id).total == 2)
+    await until(lambda: instance.fleet.occupancy.total_at(runner.id).total == 2)
     runner.pause_s = 0.3
     await world.submit(instance, "j1", ITEMS)
     await until(lambda: runner.busy)
@@ -435,7 +435,7 @@
     assert runner.most_busy == 1
     runner.leftover = 0
     await until(lambda: runner.busy == 3)
-    assert instance.fleet.occupancy.at(runner.id).total == 3
+    assert instance.fleet.occupancy.total_at(runner.id).total == 3
 
 
 async def test_an_old_job_is_swept_with_all_that_was_kept_of_it(
--- a/tests/gateway/test_many_messages.py
+++ b/tests/gateway/test_many_messages.py
@@ -144,7 +144,7 @@
 
 
 def _heard(zone: Zone, target: str) -> bool:
-    return zone.fleet.occupancy.at(target).online > 0
+    return zone.fleet.occupancy.total_at(target).online > 0
 
 
 async def _tell(zone: Zone, *targets: str) -> None:
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -77,7 +77,7 @@
     telling.news.beat = lambda: None
     hearing = await world.add_instance(zone="b")
     own = telling.settings.instance
-    await until(lambda: hearing.fleet.occupancy.of(own, "i-0").online == 2)
+    await until(lambda: hearing.fleet.occupancy.count_of(own, "i-0").online == 2)
 
 
 async def test_a_connection_that_is_made_again_begins_with_all_counts(
@@ -93,7 +93,7 @@
     for stream in list(hearing.mesh._streams):
         stream.close()
     own = telling.settings.instance
-    await until(lambda: hearing.fleet.occupancy.of(own, "i-0").online == 2)
+    await until(lambda: hearing.fleet.occupancy.count_of(own, "i-0").online == 2)
 
 
 @pytest.mark.parametrize(
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -121,7 +121,7 @@
     instance.news._flush = lambda: flushed.append(None)
     instance.news._counts(PEERS[0], Counts([["i-0", 1, 0, 0.0]]))
     await asyncio.sleep(0)
-    assert instance.fleet.occupancy.at("i-0").online == 1
+    assert instance.fleet.occupancy.total_at("i-0").online == 1
     assert flushed == []
     instance.fleet.occupancy.add("i-0", online=1)
     instance.fleet.notify_changed()
--- a/tests/gateway/test_online.py
+++ b/tests/gateway/test_online.py
@@ -157,7 +157,7 @@
     await until(lambda: runner.busy)
     asking.cancel()
     await until(lambda: not runner.busy, within_s=0.5)
-    assert instance.fleet.occupancy.at("i-0").total == 0
+    assert instance.fleet.occupancy.total_at("i-0").total == 0
 
 
 async def test_a_route_s_timeout_ends_a_request(world: World) -> None:
--- a/tests/gateway/test_replaced_targets.py
+++ b/tests/gateway/test_replaced_targets.py
@@ -68,7 +68,7 @@
     runner.leftover = 2
     instance = await world.add_instance()
     await world.ready()
-    of_nobody = instance.fleet.occupancy.of
+    of_nobody = instance.fleet.occupancy.count_of
     await until(lambda: of_nobody(NOBODY, "i-0").total == 2)
     runner.id = "i-0-again"
     usable = instance.fleet.is_usable
--- a/tests/gateway/test_started_again.py
+++ b/tests/gateway/test_started_again.py
@@ -55,15 +55,15 @@
     fleet.record_failure(life(1), WrongAnswer("an event out of order"), 0.0)
     fleet.mark_replaced("t@1", 0.0)
     fleet.record_item_refusal("t@1", 0.0)
-    fleet.occupancy.told("peer", "t@1", Count(online=4))
+    fleet.occupancy.update_peer_count("peer", "t@1", Count(online=4))
     assert not fleet.takes_items("t@1", 0.1)
     fleet.targets.put(life(2))
     fleet.discard_removed()
     assert fleet.takes_items("t@2", 0.1)
     assert [target.id for target in fleet.usable("model", 0.1)] == ["t@2"]
     # A peer that has not heard of the new life yet tells of the old one.
-    fleet.occupancy.told("peer", "t@1", Count(online=3))
-    assert fleet.occupancy.at("t@2").total == 0
+    fleet.occupancy.update_peer_count("peer", "t@1", Count(online=3))
+    assert fleet.occupancy.total_at("t@2").total == 0
 
 
 async def test_a_target_that_started_again_is_used_at_once(world: World) -> None:
@@ -74,7 +74,7 @@
     [target] = instance.fleet.targets.by_id.values()
     now = asyncio.get_running_loop().time()
     instance.fleet.mark_replaced(target.id, now)
-    instance.fleet.occupancy.told("peer", target.id, Count(online=100))
+    instance.fleet.occupancy.update_peer_count("peer", target.id, Count(online=100))
     world.list_runner(runner, born=BORN + 5)
     await until(lambda: target.id not in instance.fleet.targets.by_id)
     answer = await world.ask(instance, "/once/1", "r1")
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -71,10 +71,10 @@
         await _stop_watching(other)
     world.list_runner(world.runners[0], state="draining")
     for other in others:
-        target = other.fleet.targets.named("i-0")
+        target = other.fleet.targets.find_by_name("i-0")
         assert target is not None
         await until(
-            lambda one=other: one.fleet.targets.named("i-0").draining,
+            lambda one=other: one.fleet.targets.find_by_name("i-0").draining,
             watching.WATCH_S / 2,
         )
 
@@ -103,7 +103,7 @@
     world.list_runner(world.runners[0], state="draining")
     for instance in instances:
         await until(
-            lambda one=instance: one.fleet.targets.named("i-0").draining,
+            lambda one=instance: one.fleet.targets.find_by_name("i-0").draining,
             mesh.SILENCE_S,
         )
 
@@ -116,7 +116,9 @@
         world.store_of(reader)._base = "http://127.0.0.1:1"
     world.list_runner(world.runners[0], state="draining")
     for instance in instances:
-        await until(lambda one=instance: one.fleet.targets.named("i-0").draining, 5.0)
+        await until(
+            lambda one=instance: one.fleet.targets.find_by_name("i-0").draining, 5.0
+        )
 
 
 def _row(version: int, state: bytes, removed: bool = False) -> StoredRow:
@@ -227,7 +229,7 @@
     reader.fleet.targets.store_returned(loop.time())
     world.store.remove("servers", "i-0")
     await until(lambda: other.fleet.targets._lapsing_until_by_id, 1.0)
-    assert other.fleet.targets.named("i-0") is not None
+    assert other.fleet.targets.find_by_name("i-0") is not None
 
 
 async def test_who_does_not_read_looks_at_the_store_now_and_then(
