--- a/src/caperridge/gateway/fingerprint.py
+++ b/src/caperridge/gateway/fingerprint.py
@@ -29,7 +29,7 @@
         self.caller = caller
 
 
-def fingerprint(
+def fingerprint_of(
     method: str,
     host: str,
     path: str,
@@ -48,11 +48,11 @@
         changing: lower-case names of headers that differ from try to try.
 
     >>> sent = [("X-Id", "1"), ("X-Team", "a")]
-    >>> one = fingerprint("POST", "h", "/p", b"?", sent, frozenset({"x-id"}))
+    >>> one = fingerprint_of("POST", "h", "/p", b"?", sent, frozenset({"x-id"}))
     >>> sent = [("x-team", "a"), ("X-Id", "2")]
-    >>> one == fingerprint("POST", "h", "/p", b"?", sent, frozenset({"x-id"}))
+    >>> one == fingerprint_of("POST", "h", "/p", b"?", sent, frozenset({"x-id"}))
     True
-    >>> one.content == fingerprint("GET", "h", "/p", b"?", sent, frozenset()).content
+    >>> one.content == fingerprint_of("GET", "h", "/p", b"?", sent, frozenset()).content
     False
     """
     content = hashlib.blake2b(digest_size=CONTENT_BYTES)
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -20,7 +20,7 @@
 from caperridge.gateway.answer_limits import AnswerLimits
 from caperridge.gateway.answer_relay import FIRST_EVENT_SILENCE_S, AnswerRelay
 from caperridge.gateway.dialect import Dialect, passed_on
-from caperridge.gateway.fingerprint import Fingerprint, fingerprint
+from caperridge.gateway.fingerprint import Fingerprint, fingerprint_of
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.inbound import Carriage, GivenUp, InboundRequest, Reply
 from caperridge.gateway.metrics import GatewayMetrics
@@ -121,9 +121,9 @@
             return None
         if carriage.runs >= QUARANTINE_THRESHOLD:
             # It may have ended as many by itself, faster than that is judged.
-            await self._guard.settle()
+            await self._guard.wait_until_judged()
         carriage.admitted_runs = carriage.runs
-        if not self._guard.suspects:
+        if not self._guard.has_suspects:
             return None
         held = await self._guard.admit(self._mark(request, carriage), request.id)
         if held is None:
@@ -133,7 +133,7 @@
 
     def _mark(self, request: InboundRequest, carriage: Carriage) -> Fingerprint:
         if carriage.mark is None:
-            carriage.mark = fingerprint(
+            carriage.mark = fingerprint_of(
                 request.method,
                 request.headers.get("Host", ""),
                 request.path,
@@ -230,7 +230,9 @@
         except asyncio.CancelledError:
             if carriage.last_event == sent_events:
                 age_s = asyncio.get_running_loop().time() - began
-                self._guard.left(target, self._mark(request, carriage), age_s)
+                self._guard.record_cancelled_run(
+                    target, self._mark(request, carriage), age_s
+                )
             raise
         finally:
             self._fleet.occupancy.add(target.id, online=-1)
@@ -238,12 +240,16 @@
         took_s = asyncio.get_running_loop().time() - began
         events = carriage.last_event - sent_events
         if isinstance(error, Lost):
-            self._guard.lost(target, self._mark(request, carriage), took_s, events)
+            self._guard.record_lost_run(
+                target, self._mark(request, carriage), took_s, events
+            )
         if isinstance(error, Withdrawn):
-            self._guard.left(target, self._mark(request, carriage), took_s)
+            self._guard.record_cancelled_run(
+                target, self._mark(request, carriage), took_s
+            )
         if error is not None:
             return error
-        self._guard.ran_well(self._mark(request, carriage))
+        self._guard.record_good_run(self._mark(request, carriage))
         lengths = self._fleet.run_lengths(target.service)
         lengths.answered(events, took_s, queued=not at_once)
         return None
--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from caperridge.gateway.dialect import Dialect
-from caperridge.gateway.fingerprint import Fingerprint, fingerprint
+from caperridge.gateway.fingerprint import Fingerprint, fingerprint_of
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.jobs.held_job import (
     DONE,
@@ -21,7 +21,7 @@
 from caperridge.gateway.jobs.model import ItemProgress
 from caperridge.gateway.jobs.schedule import Startable
 from caperridge.gateway.metrics import GatewayMetrics
-from caperridge.gateway.request_guard import HeldBack, RequestGuard
+from caperridge.gateway.request_guard import QuarantineRefusal, RequestGuard
 from caperridge.gateway.routes import Route
 from caperridge.gateway.targets import Target
 from caperridge.gateway.upstream import (
@@ -108,7 +108,7 @@
 
     def is_held(self, one: Startable) -> bool:
         """Whether an item is kept from targets, as others ended under it."""
-        return self._guard.suspects and self._guard.is_held(self._mark(one))
+        return self._guard.has_suspects and self._guard.is_quarantined(self._mark(one))
 
     def _mark(self, one: Startable) -> Fingerprint:
         entry, item = one.job.entry, one.state.item
@@ -116,7 +116,7 @@
             headers = [("Host", entry.host)]
             headers += [(name, value) for name, value in item.headers]
             changing = self._dialect.headers_of_a_try
-            one.state.mark = fingerprint(
+            one.state.mark = fingerprint_of(
                 "POST", entry.host, item.path, item.body, headers, changing
             )
         return one.state.mark
@@ -171,7 +171,7 @@
         route: Route,
         target: Target,
         from_event: int,
-        task: "asyncio.Task[AttemptError | HeldBack | Renewal | None]",
+        task: "asyncio.Task[AttemptError | QuarantineRefusal | Renewal | None]",
     ) -> None:
         state = one.state
         del self._orders_by_target[target.id][state]
@@ -185,7 +185,7 @@
         if not task.cancelled():
             failed = task.exception()
             outcome = Lost(repr(failed)) if failed is not None else task.result()
-            moves = isinstance(outcome, Renewal | HeldBack)
+            moves = isinstance(outcome, Renewal | QuarantineRefusal)
             error = None if moves else outcome
         self._settle(one, route, target, error, moves, from_event)
         self._fleet.notify_changed()
@@ -224,7 +224,7 @@
             return
         if error is None:
             self._fleet.record_success(target.id, now)
-            self._guard.ran_well(self._mark(one))
+            self._guard.record_good_run(self._mark(one))
             since_s = now - state.started_at if state.started_at else 0.0
             self._fleet.run_lengths(target.service).ended(
                 state.item.tokens, state.progress.event, since_s
@@ -265,9 +265,9 @@
 
     async def _attempt(
         self, one: Startable, target: Target
-    ) -> AttemptError | HeldBack | Renewal | None:
+    ) -> AttemptError | QuarantineRefusal | Renewal | None:
         """Run the item at one target; None if its output is whole."""
-        if self._guard.suspects:
+        if self._guard.has_suspects:
             held = await self._guard.admit(self._mark(one), one.state.item.id)
             if held is not None:
                 self._start_after(one.state, held.retry_after_s)
@@ -320,7 +320,7 @@
         if isinstance(outcome, Lost):
             age_s = asyncio.get_running_loop().time() - began
             events = one.state.progress.event - from_event
-            self._guard.lost(target, self._mark(one), age_s, events)
+            self._guard.record_lost_run(target, self._mark(one), age_s, events)
 
     async def _gather(
         self, state: ItemState, answer: Answer, renew_at: float
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -55,7 +55,7 @@
 from caperridge.gateway.table_copy import TableCopy
 from caperridge.gateway.table_readers import TableReaders
 from caperridge.gateway.table_rows import TableRows
-from caperridge.gateway.target_ends import TargetEnds
+from caperridge.gateway.target_ends import CrashDetector
 from caperridge.gateway.targets import Target
 from caperridge.gateway.unowned import UnownedLook
 from caperridge.gateway.upstream import TargetClient
@@ -116,7 +116,7 @@
         self.client = TargetClient(dialect)
         quarantine = Quarantine()
         held_rows = HeldRows(repeating, self.clock, self.reach, quarantine)
-        self._target_ends = TargetEnds(self.fleet)
+        self._target_ends = CrashDetector(self.fleet)
         self.guard = RequestGuard(
             quarantine,
             self._target_ends,
@@ -210,8 +210,8 @@
 
     def _wire(self) -> None:
         self._rows.taken = self.news.table_changed
-        self._rows.gone = self._target_ends.gone
-        self._rows.over = self._target_ends.over
+        self._rows.gone = self._target_ends.target_removed
+        self._rows.over = self._target_ends.target_restarted
         self.edge.hear_peers = self.mesh.hear_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
         self.news.item_started = self.granting.used
--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -20,7 +20,7 @@
 from caperridge.gateway.mesh.messages import SoundRuns, Suspects, TargetEnded
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.rows import StoredRow
-from caperridge.gateway.target_ends import TargetEnds
+from caperridge.gateway.target_ends import CrashDetector
 from caperridge.gateway.targets import Target
 from caperridge.log import logger
 from caperridge.records import Record
@@ -43,7 +43,7 @@
 MAX_LOGGED_ENDS = 4
 
 
-class HeldBack(Record):
+class QuarantineRefusal(Record):
     """A request that is not sent to a target now.
 
     Attributes:
@@ -78,7 +78,7 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        ends: TargetEnds,
+        ends: CrashDetector,
         rows: HeldRows,
         mesh: Mesh,
         fleet: Fleet,
@@ -86,7 +86,7 @@
     ) -> None:
         self.rows = rows
         self.quarantine = quarantine
-        self.quarantined: Callable[[str], None] = lambda content: None
+        self.on_quarantined: Callable[[str], None] = lambda content: None
         self._ends = ends
         self._mesh = mesh
         self._fleet = fleet
@@ -94,7 +94,7 @@
         self._sound_at: OrderedDict[tuple[str, str], float] = OrderedDict()
         self._judge_timer: asyncio.TimerHandle | None = None
         self._claiming: set[str] = set()
-        ends.told = self._target_ended
+        ends.on_crash = self._target_ended
         mesh.register(TargetEnded, self._peer_lost_runs)
         mesh.register(SoundRuns, self._peer_ran_well)
         mesh.register(Suspects, self._peer_suspects)
@@ -103,21 +103,21 @@
     # Asked before a request is sent.
 
     @property
-    def suspects(self) -> bool:
+    def has_suspects(self) -> bool:
         """Whether anything is held against any request."""
         return bool(self.quarantine.by_content)
 
     @property
-    def looking(self) -> bool:
+    def checking_crashes(self) -> bool:
         """Whether it is not known yet whether some target ended."""
-        return self._ends.looking
+        return self._ends.checking
 
-    def is_held(self, mark: Fingerprint) -> bool:
+    def is_quarantined(self, mark: Fingerprint) -> bool:
         """Whether a request is in quarantine and not to be tried again yet."""
         hold = self.quarantine.hold_of(mark.content, mark.caller)
         return hold is not None and not hold.is_due(elapsed_s())
 
-    async def admit(self, mark: Fingerprint, request: str) -> HeldBack | None:
+    async def admit(self, mark: Fingerprint, request: str) -> QuarantineRefusal | None:
         """Return why a request may not be sent; None if it may.
 
         Args:
@@ -137,35 +137,37 @@
         log.info("request held back", request=request, **_told(suspect))
         now = elapsed_s()
         left_s = (suspect.hold or hold).next_due(now) - now
-        return HeldBack(
+        return QuarantineRefusal(
             f"{len(suspect.ends)} targets ended while they ran it",
             max(MIN_RETRY_AFTER_S, left_s),
         )
 
-    async def settle(self) -> None:
+    async def wait_until_judged(self) -> None:
         """Wait until it is known who is to blame for what was lost by now."""
         loop = asyncio.get_running_loop()
         until = loop.time() + MAX_SETTLE_S
         while loop.time() < until:
-            if not self._ends.looking and self._judge_timer is None:
+            if not self._ends.checking and self._judge_timer is None:
                 return
             await asyncio.sleep(SETTLE_S / 5)
 
     # Told of runs.
 
-    def lost(
+    def record_lost_run(
         self, target: Target, mark: Fingerprint, age_s: float, events: int
     ) -> None:
         """Note a run whose answer broke off at ``target``."""
         run = LostRun(mark.content, mark.caller, round(age_s, 3), events)
-        self._ends.lost(target, run)
+        self._ends.record_lost_run(target, run)
 
-    def left(self, target: Target, mark: Fingerprint, age_s: float) -> None:
+    def record_cancelled_run(
+        self, target: Target, mark: Fingerprint, age_s: float
+    ) -> None:
         """Note a run that was ended here before it had made an event at ``target``."""
         run = LostRun(mark.content, mark.caller, round(age_s, 3), events=0)
-        self._ends.left(target, run)
+        self._ends.record_cancelled_run(target, run)
 
-    def ran_well(self, mark: Fingerprint) -> None:
+    def record_good_run(self, mark: Fingerprint) -> None:
         """Note that a run ended no target."""
         now = elapsed_s()
         key = mark.content, mark.caller
@@ -276,7 +278,7 @@
             log.warning("request put in quarantine", **_told(suspect))
             self.rows.changed(suspect.content)
             self._count()
-            self.quarantined(suspect.content)
+            self.on_quarantined(suspect.content)
 
     def _count(self) -> None:
         self._metrics.quarantine.set(len(self.quarantine.held()))
--- a/src/caperridge/gateway/target_ends.py
+++ b/src/caperridge/gateway/target_ends.py
@@ -25,7 +25,7 @@
 GATHER_S = 0.005
 
 
-class TargetLosses:
+class LostRuns:
     """Runs that were lost at one target of which it is not known whether it ended.
 
     Attributes:
@@ -46,7 +46,7 @@
         self.look: asyncio.Task[None] | None = None
 
 
-class TargetEnds:
+class CrashDetector:
     """Tells which runs were lost with targets that ended.
 
     Attributes:
@@ -58,25 +58,27 @@
     """
 
     def __init__(self, fleet: Fleet) -> None:
-        self.told: Callable[[Target, list[LostRun]], None] = lambda target, runs: None
+        self.on_crash: Callable[[Target, list[LostRun]], None] = lambda target, runs: (
+            None
+        )
         self._fleet = fleet
         self.is_refused = is_refused
-        self._losses_by_target: dict[str, TargetLosses] = {}
+        self._losses_by_target: dict[str, LostRuns] = {}
         # Targets that have ended, for runs of which that is noticed later.
         self._ended: dict[str, asyncio.TimerHandle] = {}
 
     @property
-    def looking(self) -> bool:
+    def checking(self) -> bool:
         """Whether it is not known yet of some target whether it ended."""
         return any(one.look is not None for one in self._losses_by_target.values())
 
-    def lost(self, target: Target, run: LostRun) -> None:
+    def record_lost_run(self, target: Target, run: LostRun) -> None:
         """Take note of a run whose answer broke off at ``target``."""
         losses = self._losses(target, run)
         if losses is not None:
             losses.runs.append(run)
 
-    def left(self, target: Target, run: LostRun) -> None:
+    def record_cancelled_run(self, target: Target, run: LostRun) -> None:
         """Take note of a run that this instance ended, as its caller left.
 
         A caller may leave in the moment in which its request ends the target.
@@ -85,10 +87,10 @@
         if losses is not None:
             losses.left.append(run)
 
-    def _losses(self, target: Target, run: LostRun) -> TargetLosses | None:
+    def _losses(self, target: Target, run: LostRun) -> LostRuns | None:
         """Return where to note a run at ``target``, which is looked at; or tell it."""
         if target.id in self._ended:
-            self.told(target, [run])
+            self.on_crash(target, [run])
             return None
         listed = self._fleet.targets.by_id.get(target.id)
         if listed is None or listed.draining:
@@ -101,7 +103,7 @@
             losses.look = asyncio.get_running_loop().create_task(look)
         return losses
 
-    def gone(self, target: Target) -> None:
+    def target_removed(self, target: Target) -> None:
         """Take note that a target is not listed any more.
 
         What was lost before was lost as it ended. Some targets leave without notice and
@@ -110,7 +112,7 @@
         if not target.draining and target.id in self._losses_by_target:
             self._end(target)
 
-    def over(self, target: Target) -> None:
+    def target_restarted(self, target: Target) -> None:
         """Take note that a later life of a target is listed."""
         if not target.draining:
             self._end(target)
@@ -124,21 +126,21 @@
             look.cancel()
         await asyncio.gather(*looks, return_exceptions=True)
 
-    def _new(self, target: Target) -> TargetLosses:
+    def _new(self, target: Target) -> LostRuns:
         loop = asyncio.get_running_loop()
         timer = loop.call_later(CONFIRMED_WITHIN_S, self._forget, target.id)
-        return TargetLosses(target, timer)
+        return LostRuns(target, timer)
 
     def _forget(self, target: str) -> None:
         losses = self._losses_by_target.get(target)
         if losses is not None:
             self._drop(losses)
 
-    def _drop(self, losses: TargetLosses) -> None:
+    def _drop(self, losses: LostRuns) -> None:
         losses.timer.cancel()
         self._losses_by_target.pop(losses.target.id, None)
 
-    async def _look(self, losses: TargetLosses) -> None:
+    async def _look(self, losses: LostRuns) -> None:
         """See whether anything listens where a target was."""
         try:
             for pause_s in LOOKS_AFTER_S:
@@ -162,4 +164,4 @@
         self._drop(losses)
         runs = losses.runs + losses.left
         if runs:
-            self.told(target, runs)
+            self.on_crash(target, runs)
--- a/src/caperridge/gateway/waiting_runs.py
+++ b/src/caperridge/gateway/waiting_runs.py
@@ -54,7 +54,7 @@
     def __init__(self, guard: RequestGuard) -> None:
         self._guard = guard
         self._runs_by_number: dict[int, WaitingRun] = {}
-        guard.quarantined = self._withdraw
+        guard.on_quarantined = self._withdraw
 
     @contextlib.asynccontextmanager
     async def within(
@@ -78,7 +78,7 @@
         """Cancel the runs of a request that is in quarantine from now on."""
         now = asyncio.get_running_loop().time()
         for run in self._runs_by_number.values():
-            if run.mark.content != content or not self._guard.is_held(run.mark):
+            if run.mark.content != content or not self._guard.is_quarantined(run.mark):
                 continue
             if run.carriage.last_event != run.after_event or run.limit.expired():
                 continue
--- a/tests/gateway/test_requests_that_end_targets.py
+++ b/tests/gateway/test_requests_that_end_targets.py
@@ -434,8 +434,8 @@
         await until(lambda: busy(fleet))
         leaving.cancel()
         await until(lambda: not busy(fleet))
-    await until(lambda: not fleet.instances[0].guard.looking)
-    assert not any(one.guard.suspects for one in fleet.instances)
+    await until(lambda: not fleet.instances[0].guard.checking_crashes)
+    assert not any(one.guard.has_suspects for one in fleet.instances)
 
 
 async def test_targets_that_break_off_answers_blame_no_request(fleet: World) -> None:
@@ -445,7 +445,7 @@
         instance = fleet.instances[number % 3]
         answer = await fleet.ask(instance, "/once/1", f"r{number}")
         assert (answer.status, answer.whole) == (200, False)
-    assert not any(one.guard.suspects for one in fleet.instances)
+    assert not any(one.guard.has_suspects for one in fleet.instances)
 
 
 @pytest.mark.parametrize("notice", [True, False])
@@ -469,8 +469,8 @@
     for runner in fleet.runners:
         await runner.end()
     await asyncio.gather(*asking)
-    await until(lambda: not fleet.instances[0].guard.looking)
-    assert not any(one.guard.suspects for one in fleet.instances)
+    await until(lambda: not fleet.instances[0].guard.checking_crashes)
+    assert not any(one.guard.has_suspects for one in fleet.instances)
 
 
 async def test_a_target_that_says_nothing_when_it_ends_is_known_by_its_entry(
@@ -482,7 +482,7 @@
         instance._target_ends.is_refused = _never
         answer = await fleet.ask(instance, "/once/1", f"f{number}", FATAL)
         assert answer.status == 502
-        await until(lambda one=instance: not one.guard.looking)
+        await until(lambda one=instance: not one.guard.checking_crashes)
         await fleet.replace_ended()
         await all_know(fleet)
     answer = await fleet.ask(fleet.instances[0], "/once/1", "f", FATAL)
