--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -155,7 +155,7 @@
         }
         lengths = [
             [service, *lengths.as_told()]
-            for service, lengths in self._fleet.lengths_by_service.items()
+            for service, lengths in self._fleet.run_lengths_by_service.items()
             if with_lengths
         ]
         return Heartbeat(counts, versions, self.leaving, self._reach.reached, lengths)
@@ -208,7 +208,7 @@
 
     def _tell_far_holders(self, target: str, told: list[Any]) -> None:
         """Tell instances elsewhere that have items at ``target``; they may give way."""
-        for instance in self._fleet.occupancy.holders_of_items(target):
+        for instance in self._fleet.occupancy.item_counts_by_instance(target):
             member = self._mesh.members_by_id.get(instance)
             if member is not None and not self._mesh.is_near(member):
                 self._mesh.send(instance, Counts([told]))
@@ -217,7 +217,7 @@
         occupancy = self._fleet.occupancy
         for target, *fields in news.counts:
             count = Count(*fields)
-            before = occupancy.told(peer, target, count)
+            before = occupancy.update_peer_count(peer, target, count)
             if count.items > before.items:
                 self.on_item_started(peer, target)
             self.on_count_received(target)
@@ -227,7 +227,7 @@
         """Tell of the counts that were heard in one turn, once."""
         if self._heard_counts:
             self._heard_counts = False
-            self._fleet.changed()
+            self._fleet.notify_changed()
 
     def _heartbeat(self, peer: str, beat: Heartbeat) -> None:
         news = self._mesh.roster.reaches_store(peer, beat.store_reached)
@@ -235,10 +235,10 @@
             self._reach.recheck()
         self._mesh.set_leaving(peer, beat.leaving)
         counts = {target: Count(*count) for target, *count in beat.counts}
-        if self._fleet.occupancy.told_all(peer, counts):
+        if self._fleet.occupancy.update_peer_counts(peer, counts):
             self._heard_counts = True
         for service, *lengths in beat.lengths:
-            self._fleet.lengths(service).told(lengths)
+            self._fleet.run_lengths(service).told(lengths)
         for table, version in beat.versions.items():
             self._peer_has(peer, table, version)
 
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -55,7 +55,7 @@
 from caperridge.gateway.table_copy import TableCopy
 from caperridge.gateway.table_readers import TableReaders
 from caperridge.gateway.table_rows import TableRows
-from caperridge.gateway.target_ends import TargetEnds
+from caperridge.gateway.target_ends import CrashDetector
 from caperridge.gateway.targets import Target
 from caperridge.gateway.unowned import OrphanedRunScan
 from caperridge.gateway.upstream import TargetClient
@@ -65,19 +65,19 @@
 
 log = logger(__name__)
 
-TICK_S = 0.4
+TICK_INTERVAL_S = 0.4
 # Signs of life are most of what an idle instance of a large fleet sends and hears: 85
 # messages a second with 63 instances at 0.4 s.
-BEAT_S = 0.6
+HEARTBEAT_INTERVAL_S = 0.6
 # Nothing that is decided by the index is decided by the copy alone, so it may lag.
-INDEX_SPACING_S = 0.7
+INDEX_READ_INTERVAL_S = 0.7
 # Peers tell of held requests at once; the store does for whoever hears no peer, and so
 # well within the seconds after which an instance has to know.
-HELD_SPACING_S = 0.5
-PROBE_S = 0.5
+QUARANTINE_READ_INTERVAL_S = 0.5
+PROBE_INTERVAL_S = 0.5
 # Well above what timers are late on a busy machine, and well below the silence after
 # which peers lose this instance.
-STANDSTILL_S = 0.3
+MIN_STALL_S = 0.3
 
 
 class GatewayInstance:
@@ -116,7 +116,7 @@
         self.client = TargetClient(dialect)
         quarantine = Quarantine()
         held_rows = QuarantineTable(repeating, self.clock, self.reach, quarantine)
-        self._target_ends = TargetEnds(self.fleet)
+        self._target_ends = CrashDetector(self.fleet)
         self.guard = RequestGuard(
             quarantine,
             self._target_ends,
@@ -200,8 +200,8 @@
         return [
             watcher(configuration, self._rows.apply_configuration, 0.0),
             watcher(targets, self._rows.apply_targets, 0.0),
-            watcher(self.index.copy, self._rows.apply_index, INDEX_SPACING_S),
-            watcher(held, self._held_requests, HELD_SPACING_S),
+            watcher(self.index.copy, self._rows.apply_index, INDEX_READ_INTERVAL_S),
+            watcher(held, self._held_requests, QUARANTINE_READ_INTERVAL_S),
         ]
 
     def _held_requests(self, rows: list[StoredRow], source: str) -> None:
@@ -210,13 +210,13 @@
 
     def _wire(self) -> None:
         self._rows.on_applied = self.news.table_changed
-        self._rows.on_target_removed = self._target_ends.gone
-        self._rows.on_target_replaced = self._target_ends.over
-        self.edge.hear_peers = self.mesh.receive_now
+        self._rows.on_target_removed = self._target_ends.target_removed
+        self._rows.on_target_replaced = self._target_ends.target_restarted
+        self.edge.read_peers = self.mesh.receive_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
         self.news.on_item_started = self.granting.slot_used
         self.news.on_count_received = self._count_told
-        self._forwarder.placed = self.keeper.check_slots
+        self._forwarder.on_placed = self.keeper.check_slots
         self.reach.on_recovered(self.fleet.targets.store_returned)
         self.fleet.on_change(self.keeper.fleet_changed)
         self.fleet.on_change(self.news.counts_changed)
@@ -240,15 +240,15 @@
         ]
 
     def _peer_lost(self, member: Member) -> None:
-        self.fleet.occupancy.forget(member.id)
-        self.fleet.changed()
+        self.fleet.occupancy.remove_peer(member.id)
+        self.fleet.notify_changed()
 
     # Start and stop.
 
     @property
     def ready(self) -> bool:
         """Whether the instance takes callers."""
-        known = self.configuration.table is not None and self.fleet.known
+        known = self.configuration.table is not None and self.fleet.targets_known
         return known and not self.edge.closing
 
     async def start(self) -> None:
@@ -332,15 +332,15 @@
             now = elapsed_s()
             if not self._stood_still(watch.look(now - due)):
                 self.mesh.check_members()
-            due = now + TICK_S
-            self.fleet.far_counts_are_old = self.mesh.large
+            due = now + TICK_INTERVAL_S
+            self.fleet.remote_counts_stale = self.mesh.large
             self.recalls.expire(now)
             gone = self.fleet.targets.expire(now)
             if gone:
                 log.info("targets gone after an outage", targets=gone)
-                self.fleet.changed()
+                self.fleet.notify_changed()
             self.metrics.peers_alive.set(len(self.mesh.alive()))
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _stood_still(self, standstill: Standstill) -> bool:
         """Whether this process did nothing for a while, and say so.
@@ -348,7 +348,7 @@
         What peers said meanwhile is in its sockets. Were their silence looked at before
         that is read, all of them would be taken for lost, with all their counts.
         """
-        if standstill.stood_s < STANDSTILL_S:
+        if standstill.stood_s < MIN_STALL_S:
             return False
         self.metrics.standstill.observe(standstill.stood_s)
         self.mesh.receive_now()
@@ -365,17 +365,17 @@
     async def _beat(self) -> None:
         while True:
             self.news.send_heartbeat()
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _probe(self) -> None:
         """Find out when targets that could not be reached can be again."""
         while True:
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             for id, address in list(self.fleet.unreachable.items()):
                 if id not in self.fleet.targets.by_id:
                     self.fleet.unreachable.pop(id, None)
-                elif await self.client.reaches(address):
-                    self.fleet.reached(id)
+                elif await self.client.is_reachable(address):
+                    self.fleet.mark_reachable(id)
 
 
 def _listener(application: Any, address: str) -> Listener:
--- a/src/caperridge/gateway/table_rows.py
+++ b/src/caperridge/gateway/table_rows.py
@@ -78,14 +78,14 @@
                 self._target(row, source)
                 continue
             name = row.key.key
-            target = self._fleet.targets.named(name)
+            target = self._fleet.targets.find_by_name(name)
             self._fleet.targets.remove(name, now)
-            if target is not None and self._fleet.targets.named(name) is None:
+            if target is not None and self._fleet.targets.find_by_name(name) is None:
                 self.on_target_removed(target)
             log.info("target gone", target=name, source=source, version=row.version)
-        self._fleet.known = True
-        self._fleet.forget_gone()
-        self._fleet.changed()
+        self._fleet.targets_known = True
+        self._fleet.discard_removed()
+        self._fleet.notify_changed()
         self.on_applied(self._dialect.targets_table)
 
     def _target(self, row: StoredRow, source: str) -> None:
@@ -115,7 +115,7 @@
         over = targets.put(target)
         if over is None:
             return
-        ended = self._client.end_runs(over.id)
+        ended = self._client.abort_runs(over.id)
         self.on_target_replaced(over)
         log.info(
             "target started again", target=target.id, before=over.id, runs_ended=ended
--- a/src/caperridge/gateway/waiting_runs.py
+++ b/src/caperridge/gateway/waiting_runs.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator
 
 from caperridge.gateway.fingerprint import Fingerprint
-from caperridge.gateway.inbound import Carriage
+from caperridge.gateway.inbound import ForwardingState
 from caperridge.gateway.request_guard import RequestGuard
 from caperridge.log import logger
 from caperridge.records import Record
@@ -34,7 +34,7 @@
         self,
         request: str,
         mark: Fingerprint,
-        carriage: Carriage,
+        carriage: ForwardingState,
         limit: asyncio.Timeout,
     ) -> None:
         self.request = request
@@ -54,11 +54,11 @@
     def __init__(self, guard: RequestGuard) -> None:
         self._guard = guard
         self._runs_by_number: dict[int, WaitingRun] = {}
-        guard.quarantined = self._withdraw
+        guard.on_quarantined = self._withdraw
 
     @contextlib.asynccontextmanager
     async def within(
-        self, request: str, mark: Fingerprint, carriage: Carriage
+        self, request: str, mark: Fingerprint, carriage: ForwardingState
     ) -> AsyncIterator[asyncio.Timeout]:
         """End the block with :class:`TimeoutError` if the run is withdrawn.
 
@@ -78,7 +78,7 @@
         """Cancel the runs of a request that is in quarantine from now on."""
         now = asyncio.get_running_loop().time()
         for run in self._runs_by_number.values():
-            if run.mark.content != content or not self._guard.is_held(run.mark):
+            if run.mark.content != content or not self._guard.is_quarantined(run.mark):
                 continue
             if run.carriage.last_event != run.after_event or run.limit.expired():
                 continue
