--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -210,7 +210,11 @@
         for content in news:
             suspect = self.quarantine.by_content.get(content)
             own = reported_by == self._mesh.instance
-            if own and suspect is not None and len(suspect.crashes) >= MIN_STORED_CRASHES:
+            if (
+                own
+                and suspect is not None
+                and len(suspect.crashes) >= MIN_STORED_CRASHES
+            ):
                 self.rows.schedule_write(content)
         if news:
             self._judge_soon()
--- a/src/caperridge/gateway/unowned.py
+++ b/src/caperridge/gateway/unowned.py
@@ -119,7 +119,9 @@
         if before == news.count:
             return
         log.info("orphaned runs", target=news.target, count=news.count, source=peer)
-        self._fleet.occupancy.update_peer_count(ORPHANED, news.target, Count(news.count))
+        self._fleet.occupancy.update_peer_count(
+            ORPHANED, news.target, Count(news.count)
+        )
         self._fleet.notify_changed()
 
     def _expire(self, now: float) -> None:
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -63,7 +63,10 @@
     await world.ready()
     await asyncio.sleep(HEARTBEAT_INTERVAL_S * 1.5)
     heard = Heard(hearing)
-    end = asyncio.get_running_loop().time() + HEARTBEAT_INTERVAL_S * FULL_HEARTBEAT_PERIOD_BEATS * 2
+    end = (
+        asyncio.get_running_loop().time()
+        + HEARTBEAT_INTERVAL_S * FULL_HEARTBEAT_PERIOD_BEATS * 2
+    )
     while asyncio.get_running_loop().time() < end:
         telling.mesh.send_near(Counts([]))
         await asyncio.sleep(mesh.RECENT_S / 4)
