--- a/src/caperridge/gateway/jobs/acceptance.py
+++ b/src/caperridge/gateway/jobs/acceptance.py
@@ -25,7 +25,7 @@
     StoredRow,
     Transaction,
     TransactionError,
-    read_whole,
+    read_all_rows,
 )
 from caperridge.log import logger
 from caperridge.records import Record
@@ -131,7 +131,7 @@
 
     def _fits(self, route: Route, job: JobRequest) -> bool:
         assert route.batch is not None
-        limit = route.batch.most_waiting_tokens
+        limit = route.batch.max_waiting_tokens
         if limit <= 0:
             return True
         return self._index.waiting_tokens(route.name) + job.tokens <= limit
@@ -175,13 +175,13 @@
             answer = await self._store.transact(transaction)
             if not isinstance(answer, Err):
                 version = answer.ok_value.version
-                self._index.take_row(StoredRow(key, own, version))
-                self._index.take_row(StoredRow(gate, entry.id.encode(), version))
+                self._index.apply_row(StoredRow(key, own, version))
+                self._index.apply_row(StoredRow(gate, entry.id.encode(), version))
                 return Accepted(entry)
             error = answer.err_value
             there = error.row(key) if isinstance(error, Refused) else None
             if there is not None:
-                self._index.take_row(there)
+                self._index.apply_row(there)
                 return Accepted(entry, again=there.value != own)
             _log_another_try(entry.id, error)
             if isinstance(error, Refused):
@@ -205,12 +205,12 @@
         The gate comes with the first page, so the pages after it have all jobs that
         were accepted before the gate became what it is there.
         """
-        answer = await read_whole(self._store, INDEX)
+        answer = await read_all_rows(self._store, INDEX)
         if isinstance(answer, Err):
             return
         page: RowsRead = answer.ok_value
-        news = self._index.copy.take_whole(page.rows, page.version)
-        self._index.take(news)
+        news = self._index.copy.apply_snapshot(page.rows, page.version)
+        self._index.apply_rows(news)
 
     async def _pause(self, pause_s: float, deadline: float) -> bool:
         """Wait a little; False if the caller's time does not allow another try."""
--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from caperridge.gateway.dialect import Dialect
-from caperridge.gateway.fingerprint import Fingerprint, fingerprint
+from caperridge.gateway.fingerprint import Fingerprint, fingerprint_of
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.jobs.held_job import (
     DONE,
@@ -19,9 +19,9 @@
     ItemState,
 )
 from caperridge.gateway.jobs.model import ItemProgress
-from caperridge.gateway.jobs.schedule import Startable
+from caperridge.gateway.jobs.schedule import RankedItem
 from caperridge.gateway.metrics import GatewayMetrics
-from caperridge.gateway.request_guard import HeldBack, RequestGuard
+from caperridge.gateway.request_guard import QuarantineRefusal, RequestGuard
 from caperridge.gateway.routes import Route
 from caperridge.gateway.targets import Target
 from caperridge.gateway.upstream import (
@@ -98,7 +98,7 @@
         self._client = client
         self._dialect = dialect
         self._metrics = metrics
-        self.may_go_on: Callable[[Startable, Target], bool] = lambda one, target: True
+        self.may_go_on: Callable[[RankedItem, Target], bool] = lambda one, target: True
         self._orders_by_target: dict[str, dict[ItemState, float]] = {}
 
     @property
@@ -106,22 +106,22 @@
         """Ids of the targets at which items of this instance run."""
         return self._orders_by_target.keys()
 
-    def is_held(self, one: Startable) -> bool:
+    def is_held(self, one: RankedItem) -> bool:
         """Whether an item is kept from targets, as others ended under it."""
-        return self._guard.suspects and self._guard.is_held(self._mark(one))
+        return self._guard.has_suspects and self._guard.is_quarantined(self._mark(one))
 
-    def _mark(self, one: Startable) -> Fingerprint:
+    def _mark(self, one: RankedItem) -> Fingerprint:
         entry, item = one.job.entry, one.state.item
         if one.state.mark is None:
             headers = [("Host", entry.host)]
             headers += [(name, value) for name, value in item.headers]
-            changing = self._dialect.headers_of_a_try
-            one.state.mark = fingerprint(
+            changing = self._dialect.per_attempt_headers
+            one.state.mark = fingerprint_of(
                 "POST", entry.host, item.path, item.body, headers, changing
             )
         return one.state.mark
 
-    def start(self, one: Startable, route: Route, target: Target) -> None:
+    def start(self, one: RankedItem, route: Route, target: Target) -> None:
         """Run an item at ``target``."""
         job, state = one.job, one.state
         state.status = RUNNING
@@ -130,8 +130,8 @@
             state.started_at = asyncio.get_running_loop().time()
         self._orders_by_target.setdefault(target.id, {})[state] = one.order
         self._count(target.id, 1)
-        self._fleet.changed()
-        lengths = self._fleet.lengths(target.service)
+        self._fleet.notify_changed()
+        lengths = self._fleet.run_lengths(target.service)
         log.info(
             "item started",
             job=job.entry.id,
@@ -163,17 +163,17 @@
         """Change the number of items at ``target``, and tell what is due last there."""
         orders = self._orders_by_target[target]
         self._fleet.occupancy.add(target, items=items)
-        self._fleet.occupancy.items_due(target, max(orders.values(), default=0.0))
+        self._fleet.occupancy.set_latest_due(target, max(orders.values(), default=0.0))
         if not orders:
             del self._orders_by_target[target]
 
     def _run_ended(
         self,
-        one: Startable,
+        one: RankedItem,
         route: Route,
         target: Target,
         from_event: int,
-        task: "asyncio.Task[AttemptError | HeldBack | Renewal | None]",
+        task: "asyncio.Task[AttemptError | QuarantineRefusal | Renewal | None]",
     ) -> None:
         state = one.state
         del self._orders_by_target[target.id][state]
@@ -187,14 +187,14 @@
         if not task.cancelled():
             failed = task.exception()
             outcome = Lost(repr(failed)) if failed is not None else task.result()
-            moves = isinstance(outcome, Renewal | HeldBack)
+            moves = isinstance(outcome, Renewal | QuarantineRefusal)
             error = None if moves else outcome
         self._settle(one, route, target, error, moves, from_event)
-        self._fleet.changed()
+        self._fleet.notify_changed()
 
     def _settle(
         self,
-        one: Startable,
+        one: RankedItem,
         route: Route,
         target: Target,
         error: AttemptError | None,
@@ -225,10 +225,10 @@
         if moves or state.status in (DONE, LISTED):
             return
         if error is None:
-            self._fleet.succeeded(target.id, now)
-            self._guard.ran_well(self._mark(one))
+            self._fleet.record_success(target.id, now)
+            self._guard.record_good_run(self._mark(one))
             since_s = now - state.started_at if state.started_at else 0.0
-            self._fleet.lengths(target.service).record_item(
+            self._fleet.run_lengths(target.service).record_item(
                 state.item.tokens, state.progress.event, since_s
             )
             job.complete(state)
@@ -238,11 +238,11 @@
             self._failed(job, state, route, error.status)
             return
         if isinstance(error, TargetRefused) and error.replaced:
-            self._fleet.replaced(target.id, now)
+            self._fleet.mark_replaced(target.id, now)
         elif isinstance(error, TargetRefused) and error.run == NOT_RUN:
-            self._fleet.refused_item(target.id, now)
+            self._fleet.record_item_refusal(target.id, now)
         else:
-            self._fleet.failed(target, error, now)
+            self._fleet.record_failure(target, error, now)
 
     def _failed(
         self,
@@ -257,19 +257,19 @@
             state.progress.event, state.progress.text, failures
         )
         self._start_after(state, FAILED_AGAIN_AFTER_S)
-        if status == UNPROCESSABLE or failures >= route.most_attempts:
+        if status == UNPROCESSABLE or failures >= route.max_attempts:
             job.bury(state)
 
     def _start_after(self, state: ItemState, pause_s: float) -> None:
         loop = asyncio.get_running_loop()
         state.not_before = loop.time() + pause_s
-        loop.call_at(state.not_before, self._fleet.changed)
+        loop.call_at(state.not_before, self._fleet.notify_changed)
 
     async def _attempt(
-        self, one: Startable, target: Target
-    ) -> AttemptError | HeldBack | Renewal | None:
+        self, one: RankedItem, target: Target
+    ) -> AttemptError | QuarantineRefusal | Renewal | None:
         """Run the item at one target; None if its output is whole."""
-        if self._guard.suspects:
+        if self._guard.has_suspects:
             held = await self._guard.admit(self._mark(one), one.state.item.id)
             if held is not None:
                 self._start_after(one.state, held.retry_after_s)
@@ -286,7 +286,7 @@
             log.info("lease renewed", item=one.state.item.id, event=event)
 
     async def _leased(
-        self, one: Startable, target: Target
+        self, one: RankedItem, target: Target
     ) -> AttemptError | Renewal | None:
         """Run the item until its output is whole or its lease has to be renewed."""
         job, state = one.job, one.state
@@ -306,13 +306,13 @@
             return outcome
         finally:
             answer.close()
-            self._fleet.lengths(target.service).record_run(
+            self._fleet.run_lengths(target.service).record_run(
                 state.progress.event - from_event, loop.time() - began
             )
 
     def _lost(
         self,
-        one: Startable,
+        one: RankedItem,
         target: Target,
         outcome: AttemptError | Renewal | None,
         began: float,
@@ -322,7 +322,7 @@
         if isinstance(outcome, Lost):
             age_s = asyncio.get_running_loop().time() - began
             events = one.state.progress.event - from_event
-            self._guard.lost(target, self._mark(one), age_s, events)
+            self._guard.record_lost_run(target, self._mark(one), age_s, events)
 
     async def _gather(
         self, state: ItemState, answer: Answer, renew_at: float
@@ -337,7 +337,7 @@
         except BrokenAnswerError as error:
             return Lost(str(error))
         except asyncio.CancelledError:
-            state.take(answer.rest())
+            state.take(answer.buffered_events())
             raise
         return None if state.progress.event else Lost("it ended before an event")
 
--- a/src/caperridge/measure/capacity.py
+++ b/src/caperridge/measure/capacity.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from caperridge.decisions.chunks import LANE_ITEMS, WANTED_CHUNK_S
+from caperridge.decisions.chunks import CHUNK_DURATION_S, LANE_ITEMS
 from caperridge.decisions.job_reads import (
-    OWN_POLL_S,
-    OWN_SCAN_S,
-    POLL_S,
-    SCAN_S,
+    FALLBACK_POLL_INTERVAL_S,
+    FALLBACK_SCAN_INTERVAL_S,
+    POLL_INTERVAL_S,
+    SCAN_INTERVAL_S,
 )
-from caperridge.decisions.leases import RENEWALS_A_LEASE
+from caperridge.decisions.leases import RENEWALS_PER_LEASE
 from caperridge.instance.configuration import POLL_S as HEAD_POLL_S
 from caperridge.instance.configuration import READER_POLL_S
 from caperridge.instance.orderer import LOOK_S
@@ -263,7 +263,7 @@
 def chunk_items() -> float:
     """Return the items of a chunk as an instance sizes it at its share."""
     share = items_per_s() / INSTANCES
-    return min(LANE_ITEMS, share * WANTED_CHUNK_S)
+    return min(LANE_ITEMS, share * CHUNK_DURATION_S)
 
 
 def chunks_per_s() -> float:
@@ -282,7 +282,7 @@
 
 def steady(recorded: Recorded) -> list[Load]:
     """Return the platform's load by mechanism on an ordinary second."""
-    renewal_s = LEASE_S / RENEWALS_A_LEASE
+    renewal_s = LEASE_S / RENEWALS_PER_LEASE
     watch_s = LEASE_S / WATCHES_A_LEASE
     scan_reads = math.ceil(JOBS_A_DAY / ROWS_A_READ)
     watch_reads = math.ceil(INSTANCES / ROWS_A_READ)
@@ -298,16 +298,17 @@
             ZONES * watch_reads / watch_s,
         ),
         Load(
-            f"row of job changes polled every {POLL_S:g} s by a zone's reader, "
-            f"{OWN_POLL_S:g} s by others",
+            f"row of job changes polled every {POLL_INTERVAL_S:g} s "
+            f"by a zone's reader, {FALLBACK_POLL_INTERVAL_S:g} s by others",
             0.0,
-            ZONES / POLL_S + others / OWN_POLL_S,
+            ZONES / POLL_INTERVAL_S + others / FALLBACK_POLL_INTERVAL_S,
         ),
         Load(
-            f"open jobs scanned every {SCAN_S:g} s by a zone's reader, "
-            f"{OWN_SCAN_S:g} s by others",
+            f"open jobs scanned every {SCAN_INTERVAL_S:g} s by a zone's reader, "
+            f"{FALLBACK_SCAN_INTERVAL_S:g} s by others",
             0.0,
-            ZONES * (scan_reads + 1) / SCAN_S + others * scan_reads / OWN_SCAN_S,
+            ZONES * (scan_reads + 1) / SCAN_INTERVAL_S
+            + others * scan_reads / FALLBACK_SCAN_INTERVAL_S,
         ),
         Load(
             f"chunks of {chunk_items():.0f} items claimed, saved and committed",
--- a/tests/gateway/test_online.py
+++ b/tests/gateway/test_online.py
@@ -157,7 +157,7 @@
     await until(lambda: runner.busy)
     asking.cancel()
     await until(lambda: not runner.busy, within_s=0.5)
-    assert instance.fleet.occupancy.at("i-0").total == 0
+    assert instance.fleet.occupancy.total_at("i-0").total == 0
 
 
 async def test_a_route_s_timeout_ends_a_request(world: World) -> None:
@@ -210,7 +210,7 @@
     await world.ready()
     watcher = second._watchers[0]
     second._tasks[0].cancel()  # its watch of the configuration hears nothing more
-    assert watcher.copy.known
+    assert watcher.copy.loaded
     world.configure(7, ROUTES)
     await until(lambda: second.configuration.table.version == 7, within_s=2.0)
     assert first.configuration.table.version == 7
