--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -270,7 +270,7 @@
             return error
         self._guard.record_good_run(self._mark(request, carriage))
         lengths = self._fleet.run_lengths(target.service)
-        lengths.answered(events, took_s, queued=not at_once)
+        lengths.record_answer(events, took_s, queued=not at_once)
         return None
 
     async def _attempt_unless_held(
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -154,7 +154,7 @@
             for table, watcher in self._watchers_by_table.items()
         }
         lengths = [
-            [service, *lengths.as_told()]
+            [service, *lengths.to_fields()]
             for service, lengths in self._fleet.run_lengths_by_service.items()
             if with_lengths
         ]
@@ -238,7 +238,7 @@
         if self._fleet.occupancy.update_peer_counts(peer, counts):
             self._heard_counts = True
         for service, *lengths in beat.lengths:
-            self._fleet.run_lengths(service).told(lengths)
+            self._fleet.run_lengths(service).merge(lengths)
         for table, version in beat.versions.items():
             self._peer_has(peer, table, version)
 
