--- a/src/caperridge/decisions/item_failures.py
+++ b/src/caperridge/decisions/item_failures.py
@@ -12,7 +12,7 @@
     WrongAnswer,
 )
 
-SUSPECT_FAULT_THRESHOLD = 2
+ISOLATION_FAULTS = 2
 MAX_FAULTS = 5
 INITIAL_RETRY_DELAY_S = 0.2
 MAX_RETRY_DELAY_S = 20.0
@@ -67,7 +67,7 @@
         return FailItem("targets_failed", text, 502)
     delay_s = min(MAX_RETRY_DELAY_S, INITIAL_RETRY_DELAY_S * 2.0 ** min(tries, 10))
     jitter = stable_hash(request, str(tries)) / 2.0**64
-    return Retry(faults, delay_s * (0.5 + jitter), faults >= SUSPECT_FAULT_THRESHOLD)
+    return Retry(faults, delay_s * (0.5 + jitter), faults >= ISOLATION_FAULTS)
 
 
 @singledispatch
--- a/src/caperridge/instance/dispatcher.py
+++ b/src/caperridge/instance/dispatcher.py
@@ -12,11 +12,7 @@
 from typing import Any
 
 from caperridge.decisions.claims import must_fail
-from caperridge.decisions.item_failures import (
-    SUSPECT_FAULT_THRESHOLD,
-    FailItem,
-    after_failure,
-)
+from caperridge.decisions.item_failures import ISOLATION_FAULTS, FailItem, after_failure
 from caperridge.decisions.job_board import OpenJobs
 from caperridge.decisions.jobs import ItemFaults, ItemResult, Job
 from caperridge.decisions.membership import Membership
@@ -336,7 +332,7 @@
         """Let the items of ``work`` run; those that broke targets one by one."""
         for item in list(work.items_by_index.values()):
             place: ItemPlace = item.context
-            if place.faults >= SUSPECT_FAULT_THRESHOLD:
+            if place.faults >= ISOLATION_FAULTS:
                 self._retries.add(item, self._clock(), alone=True)
                 continue
             self.streams.submit(item)
--- a/src/caperridge/queries/in_force.py
+++ b/src/caperridge/queries/in_force.py
@@ -39,7 +39,7 @@
 ) -> InForce:
     """Return who has ``version``, of what was heard from whom.
 
-    >>> merge(5, {"a", "b", "c"}, {"a": 5, "b": 4, "gone": 5})
+    >>> merge_versions(5, {"a", "b", "c"}, {"a": 5, "b": 4, "gone": 5})
     InForce(behind={'b': 4}, in_force=['a'], not_reached=['c'], version=5)
     """
     found = InForce(version, [], {}, [])
