--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -20,7 +20,7 @@
 from caperridge.gateway.edge import Edge
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.forwarding import Forwarder
-from caperridge.gateway.held_rows import HeldRows
+from caperridge.gateway.held_rows import QuarantineTable
 from caperridge.gateway.jobs.acceptance import JobAcceptance
 from caperridge.gateway.jobs.broker import SlotBroker
 from caperridge.gateway.jobs.claims import JobClaimer
@@ -42,11 +42,11 @@
 from caperridge.gateway.mesh.member import Member
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.metrics import GatewayMetrics
-from caperridge.gateway.news import PeerNews
+from caperridge.gateway.news import PeerUpdates
 from caperridge.gateway.observed_store import ObservedStore
 from caperridge.gateway.registry import InstanceRegistry
 from caperridge.gateway.relayed_store import RelayedStore
-from caperridge.gateway.repeating_store import RepeatingStore
+from caperridge.gateway.repeating_store import HedgingStore
 from caperridge.gateway.request_guard import RequestGuard
 from caperridge.gateway.rows import RowStore, StoredRow
 from caperridge.gateway.settings import Settings
@@ -55,29 +55,29 @@
 from caperridge.gateway.table_copy import TableCopy
 from caperridge.gateway.table_readers import TableReaders
 from caperridge.gateway.table_rows import TableRows
-from caperridge.gateway.target_ends import TargetEnds
+from caperridge.gateway.target_ends import CrashDetector
 from caperridge.gateway.targets import Target
-from caperridge.gateway.unowned import UnownedLook
+from caperridge.gateway.unowned import OrphanedRunScan
 from caperridge.gateway.upstream import TargetClient
-from caperridge.gateway.watcher import Changed, StoreReach, TableWatcher
+from caperridge.gateway.watcher import Changed, StoreReachability, TableWatcher
 from caperridge.gateway.zones import silent_zones
 from caperridge.log import logger
 
 log = logger(__name__)
 
-TICK_S = 0.4
+TICK_INTERVAL_S = 0.4
 # Signs of life are most of what an idle instance of a large fleet sends and hears: 85
 # messages a second with 63 instances at 0.4 s.
-BEAT_S = 0.6
+HEARTBEAT_INTERVAL_S = 0.6
 # Nothing that is decided by the index is decided by the copy alone, so it may lag.
-INDEX_SPACING_S = 0.7
+INDEX_READ_INTERVAL_S = 0.7
 # Peers tell of held requests at once; the store does for whoever hears no peer, and so
 # well within the seconds after which an instance has to know.
-HELD_SPACING_S = 0.5
-PROBE_S = 0.5
+QUARANTINE_READ_INTERVAL_S = 0.5
+PROBE_INTERVAL_S = 0.5
 # Well above what timers are late on a busy machine, and well below the silence after
 # which peers lose this instance.
-STANDSTILL_S = 0.3
+MIN_STALL_S = 0.3
 
 
 class GatewayInstance:
@@ -98,7 +98,7 @@
         self.configuration = ConfigurationInForce()
         self.fleet = Fleet(settings.instance, settings.availability_zone, chance)
         self.clock = StoreClock()
-        self.reach = StoreReach()
+        self.reach = StoreReachability()
         self.index = JobIndex()
         self.mesh = Mesh(
             settings.instance,
@@ -112,11 +112,11 @@
         relayed = RelayedStore(store, self.mesh, self.reach, chance)
         store = ObservedStore(relayed, self.clock, self.metrics)
         self._store = store
-        repeating = RepeatingStore(store)
+        repeating = HedgingStore(store)
         self.client = TargetClient(dialect)
         quarantine = Quarantine()
-        held_rows = HeldRows(repeating, self.clock, self.reach, quarantine)
-        self._target_ends = TargetEnds(self.fleet)
+        held_rows = QuarantineTable(repeating, self.clock, self.reach, quarantine)
+        self._target_ends = CrashDetector(self.fleet)
         self.guard = RequestGuard(
             quarantine,
             self._target_ends,
@@ -149,9 +149,9 @@
             self.granting,
         )
         self.recalls = SlotRecalls(
-            self.mesh, self.fleet, self.granting, slots, self.keeper.held
+            self.mesh, self.fleet, self.granting, slots, self.keeper.held_jobs
         )
-        self.unowned = UnownedLook(
+        self.unowned = OrphanedRunScan(
             self.fleet, self.client, dialect, self.mesh, self._granted_in_service
         )
         acceptance = JobAcceptance(repeating, self.index, self.clock, chance)
@@ -174,7 +174,7 @@
             self.metrics,
         )
         self._watchers = self._make_watchers(dialect, chance)
-        self.news = PeerNews(self.mesh, self.fleet, self._watchers, self.reach)
+        self.news = PeerUpdates(self.mesh, self.fleet, self._watchers, self.reach)
         self.registry = InstanceRegistry(store, self.mesh)
         self.sweeper = JobSweeper(
             store, self.index, self.clock, self.mesh, settings.jobs_kept_s
@@ -198,34 +198,34 @@
         targets = TableCopy(dialect.targets_table)
         held = self.guard.rows.copy
         return [
-            watcher(configuration, self._rows.configuration, 0.0),
-            watcher(targets, self._rows.targets, 0.0),
-            watcher(self.index.copy, self._rows.index, INDEX_SPACING_S),
-            watcher(held, self._held_requests, HELD_SPACING_S),
+            watcher(configuration, self._rows.apply_configuration, 0.0),
+            watcher(targets, self._rows.apply_targets, 0.0),
+            watcher(self.index.copy, self._rows.apply_index, INDEX_READ_INTERVAL_S),
+            watcher(held, self._held_requests, QUARANTINE_READ_INTERVAL_S),
         ]
 
     def _held_requests(self, rows: list[StoredRow], source: str) -> None:
         self.guard.take_rows(rows, source)
-        self._rows.taken(self.guard.rows.copy.table)
+        self._rows.on_applied(self.guard.rows.copy.table)
 
     def _wire(self) -> None:
-        self._rows.taken = self.news.table_changed
-        self._rows.gone = self._target_ends.gone
-        self._rows.over = self._target_ends.over
-        self.edge.hear_peers = self.mesh.hear_now
+        self._rows.on_applied = self.news.table_changed
+        self._rows.on_target_removed = self._target_ends.target_removed
+        self._rows.on_target_replaced = self._target_ends.target_restarted
+        self.edge.read_peers = self.mesh.receive_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
-        self.news.item_started = self.granting.used
-        self.news.count_told = self._count_told
-        self._forwarder.placed = self.keeper.check_slots
-        self.reach.on_return(self.fleet.targets.store_returned)
+        self.news.on_item_started = self.granting.slot_used
+        self.news.on_count_received = self._count_told
+        self._forwarder.on_placed = self.keeper.check_slots
+        self.reach.on_recovered(self.fleet.targets.store_returned)
         self.fleet.on_change(self.keeper.fleet_changed)
         self.fleet.on_change(self.news.counts_changed)
-        self.configuration.on_change(self.keeper.poke)
-        self.index.on_change(self.keeper.poke)
-        self.mesh.on_lose(self._peer_lost)
+        self.configuration.on_change(self.keeper.schedule_check)
+        self.index.on_change(self.keeper.schedule_check)
+        self.mesh.on_lost(self._peer_lost)
 
     def _count_told(self, target: str) -> None:
-        self.recalls.look(target)
+        self.recalls.check(target)
         self.keeper.check_slots(target)
 
     def _granted_in_service(self) -> list[Target]:
@@ -235,20 +235,20 @@
             return []
         return [
             target
-            for target in self.granting.granted_here()
+            for target in self.granting.granted_targets()
             if target.service in table.services_by_name
         ]
 
     def _peer_lost(self, member: Member) -> None:
-        self.fleet.occupancy.forget(member.id)
-        self.fleet.changed()
+        self.fleet.occupancy.remove_peer(member.id)
+        self.fleet.notify_changed()
 
     # Start and stop.
 
     @property
     def ready(self) -> bool:
         """Whether the instance takes callers."""
-        known = self.configuration.table is not None and self.fleet.known
+        known = self.configuration.table is not None and self.fleet.targets_known
         return known and not self.edge.closing
 
     async def start(self) -> None:
@@ -290,11 +290,11 @@
         """Leave without cutting anything; return how many requests were cut."""
         log.info("instance stops", running=self.edge.running)
         self.news.leaving = True
-        steps = [self._tell_peers, self.keeper.hand_over, self.registry.leave]
+        steps = [self._tell_peers, self.keeper.hand_over, self.registry.deregister]
         return await PlannedStop(self.edge, self._door, steps).run(grace_s)
 
     async def _tell_peers(self) -> None:
-        self.news.beat()
+        self.news.send_heartbeat()
 
     def reload(self, settings: Settings) -> None:
         """Take changed settings; those of listeners hold from the next start on."""
@@ -331,16 +331,16 @@
         while True:
             now = elapsed_s()
             if not self._stood_still(watch.look(now - due)):
-                self.mesh.check()
-            due = now + TICK_S
-            self.fleet.far_counts_are_old = self.mesh.large
-            self.recalls.forget_old(now)
+                self.mesh.check_members()
+            due = now + TICK_INTERVAL_S
+            self.fleet.remote_counts_stale = self.mesh.large
+            self.recalls.expire(now)
             gone = self.fleet.targets.expire(now)
             if gone:
                 log.info("targets gone after an outage", targets=gone)
-                self.fleet.changed()
+                self.fleet.notify_changed()
             self.metrics.peers_alive.set(len(self.mesh.alive()))
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _stood_still(self, standstill: Standstill) -> bool:
         """Whether this process did nothing for a while, and say so.
@@ -348,10 +348,10 @@
         What peers said meanwhile is in its sockets. Were their silence looked at before
         that is read, all of them would be taken for lost, with all their counts.
         """
-        if standstill.stood_s < STANDSTILL_S:
+        if standstill.stood_s < MIN_STALL_S:
             return False
         self.metrics.standstill.observe(standstill.stood_s)
-        self.mesh.hear_now()
+        self.mesh.receive_now()
         log.warning(
             "instance stood still",
             stood_s=round(standstill.stood_s, 3),
@@ -364,18 +364,18 @@
 
     async def _beat(self) -> None:
         while True:
-            self.news.beat()
-            await asyncio.sleep(BEAT_S)
+            self.news.send_heartbeat()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _probe(self) -> None:
         """Find out when targets that could not be reached can be again."""
         while True:
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             for id, address in list(self.fleet.unreachable.items()):
                 if id not in self.fleet.targets.by_id:
                     self.fleet.unreachable.pop(id, None)
-                elif await self.client.reaches(address):
-                    self.fleet.reached(id)
+                elif await self.client.is_reachable(address):
+                    self.fleet.mark_reachable(id)
 
 
 def _listener(application: Any, address: str) -> Listener:
--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -11,16 +11,16 @@
 from typing import Any
 
 from caperridge.decisions.quarantine import SETTLE_S, Quarantine
-from caperridge.decisions.suspects import SOUND_FOR_S, End, Hold, LostRun, Suspect
+from caperridge.decisions.suspects import GOOD_RUN_TTL_S, Crash, Hold, LostRun, Suspect
 from caperridge.elapsed import elapsed_s
 from caperridge.gateway.fingerprint import Fingerprint
 from caperridge.gateway.fleet import Fleet
-from caperridge.gateway.held_rows import KEPT_ENDS, HeldRows
+from caperridge.gateway.held_rows import MIN_STORED_CRASHES, QuarantineTable
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import SoundRuns, Suspects, TargetEnded
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.rows import StoredRow
-from caperridge.gateway.target_ends import TargetEnds
+from caperridge.gateway.target_ends import CrashDetector
 from caperridge.gateway.targets import Target
 from caperridge.log import logger
 from caperridge.records import Record
@@ -43,7 +43,7 @@
 MAX_LOGGED_ENDS = 4
 
 
-class HeldBack(Record):
+class QuarantineRefusal(Record):
     """A request that is not sent to a target now.
 
     Attributes:
@@ -78,15 +78,15 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        ends: TargetEnds,
-        rows: HeldRows,
+        ends: CrashDetector,
+        rows: QuarantineTable,
         mesh: Mesh,
         fleet: Fleet,
         metrics: GatewayMetrics,
     ) -> None:
         self.rows = rows
         self.quarantine = quarantine
-        self.quarantined: Callable[[str], None] = lambda content: None
+        self.on_quarantined: Callable[[str], None] = lambda content: None
         self._ends = ends
         self._mesh = mesh
         self._fleet = fleet
@@ -94,30 +94,30 @@
         self._sound_at: OrderedDict[tuple[str, str], float] = OrderedDict()
         self._judge_timer: asyncio.TimerHandle | None = None
         self._claiming: set[str] = set()
-        ends.told = self._target_ended
+        ends.on_crash = self._target_ended
         mesh.register(TargetEnded, self._peer_lost_runs)
         mesh.register(SoundRuns, self._peer_ran_well)
         mesh.register(Suspects, self._peer_suspects)
-        mesh.say_first(self._first_word)
+        mesh.send_on_connect(self._first_word)
 
     # Asked before a request is sent.
 
     @property
-    def suspects(self) -> bool:
+    def has_suspects(self) -> bool:
         """Whether anything is held against any request."""
         return bool(self.quarantine.by_content)
 
     @property
-    def looking(self) -> bool:
+    def checking_crashes(self) -> bool:
         """Whether it is not known yet whether some target ended."""
-        return self._ends.looking
+        return self._ends.checking
 
-    def is_held(self, mark: Fingerprint) -> bool:
+    def is_quarantined(self, mark: Fingerprint) -> bool:
         """Whether a request is in quarantine and not to be tried again yet."""
-        hold = self.quarantine.hold_of(mark.content, mark.caller)
+        hold = self.quarantine.hold_for(mark.content, mark.caller)
         return hold is not None and not hold.is_due(elapsed_s())
 
-    async def admit(self, mark: Fingerprint, request: str) -> HeldBack | None:
+    async def admit(self, mark: Fingerprint, request: str) -> QuarantineRefusal | None:
         """Return why a request may not be sent; None if it may.
 
         Args:
@@ -125,7 +125,7 @@
             request: its id, for the log.
         """
         self._judge()
-        hold = self.quarantine.hold_of(mark.content, mark.caller)
+        hold = self.quarantine.hold_for(mark.content, mark.caller)
         if hold is None:
             return None
         suspect = self.quarantine.by_content[mark.content]
@@ -137,35 +137,37 @@
         log.info("request held back", request=request, **_told(suspect))
         now = elapsed_s()
         left_s = (suspect.hold or hold).next_due(now) - now
-        return HeldBack(
-            f"{len(suspect.ends)} targets ended while they ran it",
+        return QuarantineRefusal(
+            f"{len(suspect.crashes)} targets ended while they ran it",
             max(MIN_RETRY_AFTER_S, left_s),
         )
 
-    async def settle(self) -> None:
+    async def wait_until_judged(self) -> None:
         """Wait until it is known who is to blame for what was lost by now."""
         loop = asyncio.get_running_loop()
         until = loop.time() + MAX_SETTLE_S
         while loop.time() < until:
-            if not self._ends.looking and self._judge_timer is None:
+            if not self._ends.checking and self._judge_timer is None:
                 return
             await asyncio.sleep(SETTLE_S / 5)
 
     # Told of runs.
 
-    def lost(
+    def record_lost_run(
         self, target: Target, mark: Fingerprint, age_s: float, events: int
     ) -> None:
         """Note a run whose answer broke off at ``target``."""
         run = LostRun(mark.content, mark.caller, round(age_s, 3), events)
-        self._ends.lost(target, run)
+        self._ends.record_lost_run(target, run)
 
-    def left(self, target: Target, mark: Fingerprint, age_s: float) -> None:
+    def record_cancelled_run(
+        self, target: Target, mark: Fingerprint, age_s: float
+    ) -> None:
         """Note a run that was ended here before it had made an event at ``target``."""
         run = LostRun(mark.content, mark.caller, round(age_s, 3), events=0)
-        self._ends.left(target, run)
+        self._ends.record_cancelled_run(target, run)
 
-    def ran_well(self, mark: Fingerprint) -> None:
+    def record_good_run(self, mark: Fingerprint) -> None:
         """Note that a run ended no target."""
         now = elapsed_s()
         key = mark.content, mark.caller
@@ -173,7 +175,7 @@
         self._sound_at[key] = now
         if len(self._sound_at) > MAX_GOOD_RUNS:
             self._sound_at.popitem(last=False)
-        if self.quarantine.sound(mark.content, mark.caller, now, now):
+        if self.quarantine.record_good_run(mark.content, mark.caller, now, now):
             self._cleared(mark.content, self._mesh.instance)
             self._mesh.send_all(SoundRuns([[mark.content, mark.caller, 0.0]]))
 
@@ -181,7 +183,7 @@
 
     def take_rows(self, rows: list[StoredRow], source: str) -> None:
         """Take rows of held requests that were news."""
-        if self.rows.take(rows, source):
+        if self.rows.apply_rows(rows, source):
             self._judge_soon()
             self._count()
 
@@ -200,16 +202,20 @@
         runs = [LostRun(*run) for run in news.runs]
         listed = self._fleet.targets.by_id.get(news.target)
         if listed is not None:
-            self._fleet.ended(listed)
+            self._fleet.mark_crashed(listed)
         self._take_end(news.target, runs, peer)
 
     def _take_end(self, target: str, runs: list[LostRun], reported_by: str) -> None:
-        news = self.quarantine.ended(target, runs, elapsed_s(), reported_by)
+        news = self.quarantine.record_crash(target, runs, elapsed_s(), reported_by)
         for content in news:
             suspect = self.quarantine.by_content.get(content)
             own = reported_by == self._mesh.instance
-            if own and suspect is not None and len(suspect.ends) >= KEPT_ENDS:
-                self.rows.changed(content)
+            if (
+                own
+                and suspect is not None
+                and len(suspect.crashes) >= MIN_STORED_CRASHES
+            ):
+                self.rows.schedule_write(content)
         if news:
             self._judge_soon()
         self._say_what_ran_well(runs)
@@ -218,7 +224,7 @@
         """Exonerate requests that ended well here a short while ago."""
         sound = [run for run in runs if self._is_sound(run)]
         if sound and self._mesh.large:
-            delay_s = EXONERATE_WITHIN_S * self._fleet.chance.random()
+            delay_s = EXONERATE_WITHIN_S * self._fleet.rng.random()
             asyncio.get_running_loop().call_later(delay_s, self._exonerate, sound)
         elif sound:
             self._exonerate(sound)
@@ -230,8 +236,8 @@
         if at is None or suspect is None:
             return False
         now = elapsed_s()
-        said_s = now - suspect.sound_at_for(run.caller)
-        return now - at < SOUND_FOR_S and said_s > SOUND_FOR_S / 2
+        said_s = now - suspect.last_good_run_at_for(run.caller)
+        return now - at < GOOD_RUN_TTL_S and said_s > GOOD_RUN_TTL_S / 2
 
     def _exonerate(self, runs: list[LostRun]) -> None:
         now = elapsed_s()
@@ -240,7 +246,7 @@
             if not self._is_sound(run):
                 continue
             at = self._sound_at[run.content, run.caller]
-            self.quarantine.sound(run.content, run.caller, at, now)
+            self.quarantine.record_good_run(run.content, run.caller, at, now)
             told.append([run.content, run.caller, round(now - at, 3)])
         if told:
             self._mesh.send_all(SoundRuns(told))
@@ -248,14 +254,14 @@
     def _peer_ran_well(self, peer: str, news: SoundRuns) -> None:
         now = elapsed_s()
         for content, caller, ago_s in news.runs:
-            if self.quarantine.sound(content, caller, now - ago_s, now):
+            if self.quarantine.record_good_run(content, caller, now - ago_s, now):
                 self._cleared(content, peer)
 
     def _cleared(self, content: str, reported_by: str) -> None:
         """Note a good run of a suspect."""
         suspect = self.quarantine.by_content[content]
         log.info("suspect ran well", reported_by=reported_by, **_told(suspect))
-        self.rows.changed(content)
+        self.rows.schedule_write(content)
         self._count()
 
     # Judging.
@@ -268,18 +274,18 @@
     def _judge_now(self) -> None:
         self._judge_timer = None
         self._judge()
-        if self.quarantine.unjudged:
+        if self.quarantine.evaluation_pending:
             self._judge_soon()
 
     def _judge(self) -> None:
-        for suspect in self.quarantine.judge(elapsed_s()):
+        for suspect in self.quarantine.evaluate(elapsed_s()):
             log.warning("request put in quarantine", **_told(suspect))
-            self.rows.changed(suspect.content)
+            self.rows.schedule_write(suspect.content)
             self._count()
-            self.quarantined(suspect.content)
+            self.on_quarantined(suspect.content)
 
     def _count(self) -> None:
-        self._metrics.quarantine.set(len(self.quarantine.held()))
+        self._metrics.quarantine.set(len(self.quarantine.quarantined()))
 
     # Telling who knows nothing.
 
@@ -292,7 +298,7 @@
         now = elapsed_s()
         for content, ends, hold in news.suspects:
             taken = [
-                End(target, caller, age_s, events, now - ago_s, by)
+                Crash(target, caller, age_s, events, now - ago_s, by)
                 for target, caller, age_s, events, ago_s, by in ends
             ]
             held = None
@@ -300,7 +306,7 @@
                 callers, since_s, trials, trial_in_s = hold
                 since, trial_at = now - since_s, now + trial_in_s
                 held = Hold(frozenset(callers), since, trials, trial_at)
-            if not self.quarantine.restore(content, taken, held):
+            if not self.quarantine.merge(content, taken, held):
                 continue
             told = _told(self.quarantine.by_content[content])
             log.info("suspect taken", reported_by=peer, **told)
@@ -315,7 +321,7 @@
             return False
         self._claiming.add(suspect.content)
         try:
-            return await self.rows.claim(suspect)
+            return await self.rows.claim_trial(suspect)
         finally:
             self._claiming.discard(suspect.content)
 
@@ -323,13 +329,13 @@
         """Forget what is long ago until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_S)
-            self.quarantine.forget(elapsed_s())
-            self.rows.sweep()
+            self.quarantine.expire(elapsed_s())
+            self.rows.remove_expired()
             self._count()
 
     def state(self) -> list[dict[str, Any]]:
         """Return what is in quarantine, for people."""
-        return [_told(suspect) for suspect in self.quarantine.held()]
+        return [_told(suspect) for suspect in self.quarantine.quarantined()]
 
 
 def _held_first(suspect: Suspect) -> bool:
@@ -349,9 +355,9 @@
                 "age_s": round(now - end.at, 3),
                 "reported_by": end.reported_by,
             }
-            for end in suspect.ends[-MAX_LOGGED_ENDS:]
+            for end in suspect.crashes[-MAX_LOGGED_ENDS:]
         ],
-        "ends_known": len(suspect.ends),
+        "ends_known": len(suspect.crashes),
         "callers": sorted(hold.callers) if hold is not None else None,
         "held_s": round(now - hold.since, 3) if hold is not None else None,
         "trials": hold.trials if hold is not None else 0,
@@ -364,7 +370,7 @@
     hold = suspect.hold
     ends = [
         [e.target, e.caller, e.age_s, e.events, round(now - e.at, 3), e.reported_by]
-        for e in suspect.ends
+        for e in suspect.crashes
     ]
     if hold is None:
         return [suspect.content, ends, []]
--- a/tests/gateway/test_contacts.py
+++ b/tests/gateway/test_contacts.py
@@ -7,7 +7,7 @@
 from caperridge.decisions.rendezvous import score
 from caperridge.gateway.mesh import mesh
 from caperridge.gateway.mesh.contacts import CONTACTS_PER_ZONE, choose_contacts
-from caperridge.gateway.mesh.dialers import GUEST_S
+from caperridge.gateway.mesh.dialers import TEMPORARY_STREAM_S
 from caperridge.gateway.mesh.member import Member
 from caperridge.gateway.mesh.messages import (
     Counts,
@@ -18,7 +18,7 @@
 )
 from caperridge.gateway.mesh.roster import Roster
 from caperridge.gateway.mesh.streams import encode_body
-from caperridge.gateway.process import BEAT_S, GatewayInstance
+from caperridge.gateway.process import HEARTBEAT_INTERVAL_S, GatewayInstance
 from gateway.conftest import World, until
 
 NOW = 100.0
@@ -111,7 +111,9 @@
     instances = [await world.add_instance(zone=zone) for zone in "aabbbbcccc"]
     await world.ready()
     near, contacts = 1, 2 * CONTACTS_PER_ZONE
-    await until(lambda: _streams(instances[0]) == near + contacts, GUEST_S + 3.0)
+    await until(
+        lambda: _streams(instances[0]) == near + contacts, TEMPORARY_STREAM_S + 3.0
+    )
 
 
 async def test_all_hear_of_each_other_and_all_news_through_contacts(
@@ -135,7 +137,9 @@
     await world.kill(killed)
     for instance in instances[:-1]:
         member = instance.mesh.members_by_id[id]
-        await until(lambda one=member: one.lost_at is not None, mesh.SILENCE_S / 2)
+        await until(
+            lambda one=member: one.lost_at is not None, mesh.SILENCE_TIMEOUT_S / 2
+        )
 
 
 async def test_signs_of_life_that_were_on_their_way_bring_nobody_back(
@@ -179,7 +183,7 @@
     """Twice and out of order, and among contacts that are each other's."""
     instances = [await world.add_instance(zone=zone) for zone in "aabb"]
     await world.ready()
-    await asyncio.sleep(BEAT_S)
+    await asyncio.sleep(HEARTBEAT_INTERVAL_S)
     before = sum(_sent(one, "Relayed") for one in instances)
     for listed in (5, 7, 6):
         instances[0].mesh.send_all(JobNews("j1", "somebody", listed))
@@ -204,7 +208,7 @@
     relay = asking.mesh._relay
     await until(lambda: len(relay._connected_contacts("b")) == CONTACTS_PER_ZONE)
     first = relay._best_contact("b")
-    first.heard_at -= 10.0
+    first.last_received_at -= 10.0
     assert relay._best_contact("b") is not first
 
 
@@ -228,8 +232,8 @@
     near = await world.add_instance(zone="a")
     far = await world.add_instance(zone="b")
     await world.ready()
-    far.news.beat = lambda: None
-    await asyncio.sleep(BEAT_S)
+    far.news.send_heartbeat = lambda: None
+    await asyncio.sleep(HEARTBEAT_INTERVAL_S)
     member = near.mesh.members_by_id[far.settings.instance]
     place = [member.id, member.incarnation, member.address, member.zone]
     sign = RelayedHeartbeats([[*place, False, True, [["i-0", 1, 0, 0.0]]]])
@@ -238,9 +242,9 @@
     relay._deliver(
         [member.id, member.incarnation, encode_body(Counts([["i-0", 3, 0]]))]
     )
-    assert near.fleet.occupancy.of(member.id, "i-0").online == 3
+    assert near.fleet.occupancy.count_of(member.id, "i-0").online == 3
     relay._relayed_heartbeats("", sign)
-    assert near.fleet.occupancy.of(member.id, "i-0").online == 1
-    heard_at = member.heard_at
+    assert near.fleet.occupancy.count_of(member.id, "i-0").online == 1
+    heard_at = member.last_received_at
     relay._relayed_heartbeats("", sign)
-    assert member.heard_at > heard_at
+    assert member.last_received_at > heard_at
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -9,7 +9,7 @@
 from caperridge.gateway import watcher as watching
 from caperridge.gateway.mesh import mesh
 from caperridge.gateway.mesh.messages import Heartbeat
-from caperridge.gateway.process import BEAT_S, GatewayInstance
+from caperridge.gateway.process import HEARTBEAT_INTERVAL_S, GatewayInstance
 from caperridge.gateway.rows import RowKey, RowsRead, StoredRow
 from caperridge.gateway.table_readers import READERS_PER_ZONE
 from gateway.conftest import ROUTES, World, until
@@ -71,11 +71,11 @@
         await _stop_watching(other)
     world.list_runner(world.runners[0], state="draining")
     for other in others:
-        target = other.fleet.targets.named("i-0")
+        target = other.fleet.targets.find_by_name("i-0")
         assert target is not None
         await until(
-            lambda one=other: one.fleet.targets.named("i-0").draining,
-            watching.WATCH_S / 2,
+            lambda one=other: one.fleet.targets.find_by_name("i-0").draining,
+            watching.LONG_POLL_S / 2,
         )
 
 
@@ -103,8 +103,8 @@
     world.list_runner(world.runners[0], state="draining")
     for instance in instances:
         await until(
-            lambda one=instance: one.fleet.targets.named("i-0").draining,
-            mesh.SILENCE_S,
+            lambda one=instance: one.fleet.targets.find_by_name("i-0").draining,
+            mesh.SILENCE_TIMEOUT_S,
         )
 
 
@@ -116,7 +116,9 @@
         world.store_of(reader)._base = "http://127.0.0.1:1"
     world.list_runner(world.runners[0], state="draining")
     for instance in instances:
-        await until(lambda one=instance: one.fleet.targets.named("i-0").draining, 5.0)
+        await until(
+            lambda one=instance: one.fleet.targets.find_by_name("i-0").draining, 5.0
+        )
 
 
 def _row(version: int, state: bytes, removed: bool = False) -> StoredRow:
@@ -129,7 +131,7 @@
     made = watching.TableWatcher(
         None,
         watching.TableCopy("t"),
-        watching.StoreReach(),
+        watching.StoreReachability(),
         lambda rows, source: taken.append(rows),
         reads=lambda table: False,
     )
@@ -141,19 +143,19 @@
     copy_watcher: watching.TableWatcher,
 ) -> None:
     """Who took them for all there is would serve with a part of the targets."""
-    copy_watcher.take_changes_from_peer([_row(5, b"x")], 0, 5, "peer")
-    assert not copy_watcher.copy.known
+    copy_watcher.apply_changes_from_peer([_row(5, b"x")], 0, 5, "peer")
+    assert not copy_watcher.copy.loaded
     assert copy_watcher.taken == []
 
 
 def test_a_gap_before_changes_is_looked_for(
     copy_watcher: watching.TableWatcher,
 ) -> None:
-    copy_watcher.copy.take_whole([], 3)
-    copy_watcher.take_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
+    copy_watcher.copy.apply_snapshot([], 3)
+    copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
     assert copy_watcher.copy.read_version == 5
     assert not copy_watcher._wake.is_set()
-    copy_watcher.take_changes_from_peer([_row(9, b"z")], 7, 9, "peer")
+    copy_watcher.apply_changes_from_peer([_row(9, b"z")], 7, 9, "peer")
     assert copy_watcher.copy.read_version == 5
     assert copy_watcher._wake.is_set()
 
@@ -161,10 +163,10 @@
 def test_changes_that_come_twice_or_late_bring_nothing_back(
     copy_watcher: watching.TableWatcher,
 ) -> None:
-    copy_watcher.copy.take_whole([], 3)
+    copy_watcher.copy.apply_snapshot([], 3)
     for _ in range(2):
-        copy_watcher.take_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
-        copy_watcher.take_changes_from_peer([_row(6, b"", True)], 5, 6, "peer")
+        copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
+        copy_watcher.apply_changes_from_peer([_row(6, b"", True)], 5, 6, "peer")
     assert copy_watcher.copy.rows_by_key == {}
     assert [[row.version for row in rows] for rows in copy_watcher.taken] == [[5], [6]]
 
@@ -199,9 +201,9 @@
     copy_watcher: watching.TableWatcher,
 ) -> None:
     """It is no news to it, but to the others."""
-    copy_watcher.copy.take_whole([], 3)
+    copy_watcher.copy.apply_snapshot([], 3)
     own = _row(5, b"x")
-    copy_watcher.copy.take_row(own)
+    copy_watcher.copy.apply_row(own)
     passed = await _read_pages(copy_watcher, [own], [], [_row(9, b"y")])
     assert passed == [(1, 3, 5), (1, 5, 9)]
 
@@ -209,8 +211,8 @@
 async def test_what_another_reader_passed_on_is_not_passed_on_again(
     copy_watcher: watching.TableWatcher,
 ) -> None:
-    copy_watcher.copy.take_whole([], 3)
-    copy_watcher.take_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
+    copy_watcher.copy.apply_snapshot([], 3)
+    copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
     passed = await _read_pages(copy_watcher, [_row(5, b"x")], [_row(6, b"y")])
     assert passed == [(1, 5, 6)]
 
@@ -227,7 +229,7 @@
     reader.fleet.targets.store_returned(loop.time())
     world.store.remove("servers", "i-0")
     await until(lambda: other.fleet.targets._lapsing_until_by_id, 1.0)
-    assert other.fleet.targets.named("i-0") is not None
+    assert other.fleet.targets.find_by_name("i-0") is not None
 
 
 async def test_who_does_not_read_looks_at_the_store_now_and_then(
@@ -285,7 +287,7 @@
         watching.TableWatcher(
             store,
             watching.TableCopy("t"),
-            watching.StoreReach(),
+            watching.StoreReachability(),
             lambda rows, source: None,
         )
         for _ in range(4)
@@ -295,27 +297,29 @@
         def publish(rows: list[StoredRow], since: int, version: int) -> None:
             for hearer in watchers:
                 if hearer is not speaker and chance.random() < 0.8:
-                    hearer.take_changes_from_peer(rows, since, version, "peer")
+                    hearer.apply_changes_from_peer(rows, since, version, "peer")
 
         return publish
 
     for watcher in watchers:
-        watcher.copy.take_whole([], 0)
+        watcher.copy.apply_snapshot([], 0)
         watcher.publish = passer(watcher)
     asked: set[asyncio.Task] = set()
     for _ in range(200):
         if chance.random() < 0.4:
             row = store.write()
             if chance.random() < 0.3:
-                chance.choice(watchers).copy.take_row(row)
+                chance.choice(watchers).copy.apply_row(row)
         if chance.random() < 0.5 and len(asked) < 3:
             asked.add(asyncio.ensure_future(chance.choice(watchers[:2])._watch(1.0)))
         if chance.random() < 0.05:
             whole = list(store.rows_by_key.values())
-            chance.choice(watchers).take_from_peer(whole, store.version, "peer")
+            chance.choice(watchers).apply_snapshot_from_peer(
+                whole, store.version, "peer"
+            )
         if chance.random() < 0.05:
             whole = list(store.rows_by_key.values())
-            chance.choice(watchers).copy.take_whole(whole, store.version)
+            chance.choice(watchers).copy.apply_snapshot(whole, store.version)
         await asyncio.sleep(0)
         asked = {one for one in asked if not one.done()}
         for watcher in watchers:
@@ -335,8 +339,8 @@
     peer = await world.add_instance(zone=zone)
     await world.ready()
     id = peer.settings.instance
-    peer.news.beat = lambda: None
-    await asyncio.sleep(BEAT_S)
+    peer.news.send_heartbeat = lambda: None
+    await asyncio.sleep(HEARTBEAT_INTERVAL_S)
     instance.news._heartbeat(id, Heartbeat([], {}, store_reached=True))
     looked: list[None] = []
     instance.reach.recheck = lambda: looked.append(None)
