--- a/src/caperridge/decisions/batch_share.py
+++ b/src/caperridge/decisions/batch_share.py
@@ -1,8 +1,8 @@
-"""How many streams may run at a target before online callers notice batch.
+"""Batch admission at a target: how many streams fit without slowing online tokens.
 
-Batch lengthens each step, and so the time between online tokens. Online traffic alone
-already makes its tail slow when it bursts. Outside bursts batch may therefore fill
-the target up to that level; the trade of the service allows some more.
+Batch lengthens each step, and with it the time between online tokens. Bursts of online
+traffic already produce a slow tail. Outside bursts, batch may therefore fill the
+target up to the same step time; the batch weight of the service allows some more.
 """
 
 import math
@@ -16,13 +16,13 @@
 GUARD_PENALTY_STREAMS = 1
 MAX_GUARD_PENALTY_STREAMS = 8
 GUARD_RECOVERY_S = 2.0
-BASELINE_RISE_RATIO = 0.02  # of the way to a slower sample, for each one seen
+BASELINE_RISE_RATIO = 0.02  # of the difference to a slower sample, for each sample
 
 
 def acceptable_slowdown(batch_weight: float) -> float:
-    """Return how much longer than at its own tail an online step may be.
+    """Return how long an online step may be, relative to its tail without batch.
 
-    The trade rises slowly at first, so that the middle still favours the tail.
+    The curve is quadratic, so that a medium weight still favours the tail latency.
 
     >>> acceptable_slowdown(0.0), acceptable_slowdown(0.5), acceptable_slowdown(1.0)
     (1.02, 1.09, 1.3)
@@ -32,51 +32,57 @@
 
 
 def max_streams(
-    line: Line | None, tail_online: int, full: int, batch_weight: float
+    line: Line | None, tail_online: int, slots: int, batch_weight: float
 ) -> float:
     """Return how many streams, online and batch, may run in one step.
 
     Args:
-        line: the step time learnt; None if it is not known.
-        tail_online: the concurrency at which online made its slowest tokens.
-        full: places of the target.
-        batch_weight: the trade of the service.
+        line: step time as a linear function of streams; None if not known.
+        tail_online: online concurrency during the slowest online tokens.
+        slots: slots of the target.
+        batch_weight: of the service; 0 favours tail latency, 1 throughput.
 
     >>> max_streams(Line(0.025, 0.0005), 10, 10, 0.0)
     11.2
     """
     if line is None or line.stream_s <= 0 or tail_online <= 0:
         return math.inf
-    alone = tail_without_batch(line, tail_online, full)
-    longest_s = line.at(alone) * acceptable_slowdown(batch_weight)
-    return round((longest_s - line.base_s) / line.stream_s, 3)
+    online_streams = tail_without_batch(line, tail_online, slots)
+    max_step_s = line.at(online_streams) * acceptable_slowdown(batch_weight)
+    return round((max_step_s - line.base_s) / line.stream_s, 3)
 
 
-def tail_without_batch(line: Line, tail_online: int, full: int) -> float:
-    """Return the concurrency that online would have had at its tail without batch.
+def tail_without_batch(line: Line, tail_online: int, slots: int) -> float:
+    """Return the online concurrency that the tail would have had without batch.
 
-    Longer steps keep each request longer, so batch raises the concurrency that it is
-    measured by; without this correction it would allow itself more and more. By
-    Little's law the concurrency is as the step time.
+    Longer steps keep each request in the target longer, so batch raises the very
+    concurrency that limits it; without this correction its limit would keep growing.
+    By Little's law, concurrency is proportional to the step time.
 
     >>> tail_without_batch(Line(0.04, 0.002), 20, 24)
     16.667
     >>> tail_without_batch(Line(0.04, 0.002), 20, 20)
     20.0
     """
-    beside = full - tail_online
-    if beside <= 0:
+    batch_streams = slots - tail_online
+    if batch_streams <= 0:
         return float(tail_online)
-    alone = tail_online * line.base_s / (line.base_s + line.stream_s * beside)
-    return round(alone, 3)
+    online = tail_online * line.base_s / (line.base_s + line.stream_s * batch_streams)
+    return round(online, 3)
 
 
 class FirstTokenGuard(Record):
-    """Takes room from batch when online first tokens come later than they should.
+    """Reduces the streams of batch when online first tokens are late.
 
-    A first token needs the rest of a step, its own step, and its prefill. Where it
-    takes some steps more, the request queued in the engine: somebody else fills it,
-    e.g. a second dispatcher. Each such sight costs batch a stream; time gives it back.
+    A first token takes the rest of a step, its own step and its prefill. If it takes
+    several steps more, the request queued in the engine: another sender fills it,
+    e.g. a second dispatcher. Each late token costs batch a stream for
+    :data:`GUARD_RECOVERY_S`.
+
+    Attributes:
+        baseline_s: time to first token without queueing.
+        penalty: streams withheld at ``changed_at``.
+        changed_at: when the penalty last rose, monotonic seconds.
     """
 
     __slots__ = ("baseline_s", "changed_at", "penalty")
@@ -91,7 +97,7 @@
     def record_first_token(
         self, first_token_s: float, step_s: float, now: float
     ) -> None:
-        """Note the time to the first token of an online request."""
+        """Record the time to the first token of an online request."""
         if not self.baseline_s or first_token_s < self.baseline_s:
             self.baseline_s = first_token_s
             return
@@ -106,6 +112,6 @@
         self.changed_at = now
 
     def withheld_streams(self, now: float) -> int:
-        """Return how many streams batch has to do without."""
+        """Return how many streams are withheld from batch."""
         recovered = int((now - self.changed_at) / GUARD_RECOVERY_S)
         return max(0, self.penalty - recovered)
--- a/src/caperridge/decisions/claims.py
+++ b/src/caperridge/decisions/claims.py
@@ -1,8 +1,8 @@
-"""Which chunks of a job to claim, take over or split: pure planning.
+"""Work claiming: plans which chunks of a job to claim, take over or split.
 
-Planners on several instances may choose the same chunk; the row's condition lets one
-of them have it. They rarely do: each goes through lanes and chunks in an order that
-is drawn from its own name.
+Planners on several instances may choose the same chunk; the conditional write of its
+row lets only one of them claim it. Collisions are rare, since each instance visits
+lanes and chunks in an order that is derived from a hash of its own name.
 """
 
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 
 class TakeOver(Record):
-    """Claim a chunk whose holder is gone, or that a split left free."""
+    """Claim a chunk whose holder is gone, or one that a split left free."""
 
     __slots__ = ("chunk", "holder_died", "row")
 
@@ -50,7 +50,7 @@
 
 
 class Split(Record):
-    """Cut a chunk whose holders died into free parts."""
+    """Split a chunk whose holders died into free parts."""
 
     __slots__ = ("chunk", "parts", "row")
 
@@ -73,23 +73,23 @@
         self.rows_by_start = rows_by_start
 
     def unclaimed_ranges(self) -> list[Chunk]:
-        """Return the unclaimed rest of each lane."""
-        found: list[Chunk] = []
+        """Return the unclaimed remainder of each lane."""
+        ranges: list[Chunk] = []
         for lane in range(0, self.job.items, self.job.lane_items):
             lane_end = min(self.job.items, lane + self.job.lane_items)
             start = lane
             while start < lane_end and start in self.rows_by_start:
                 start = self.rows_by_start[start].state.end
             if start < lane_end:
-                found.append(Chunk(self.job.id, start, lane_end))
-        return found
+                ranges.append(Chunk(self.job.id, start, lane_end))
+        return ranges
 
     def done_items(self) -> int:
         """Return how many items are committed."""
         return sum(
-            seen.state.end - start
-            for start, seen in self.rows_by_start.items()
-            if seen.state.state == DONE
+            row.state.end - start
+            for start, row in self.rows_by_start.items()
+            if row.state.state == DONE
         )
 
     def complete(self) -> bool:
@@ -97,80 +97,82 @@
         return self.done_items() == self.job.items
 
     def counts(self) -> tuple[int, int]:
-        """Return the completed and the failed items of committed chunks."""
+        """Return the numbers of completed and failed items of committed chunks."""
         completed = failed = 0
-        for seen in self.rows_by_start.values():
-            completed += seen.state.completed
-            failed += seen.state.failed
+        for row in self.rows_by_start.values():
+            completed += row.state.completed
+            failed += row.state.failed
         return completed, failed
 
     def holders(self) -> set[str]:
         """Return the sessions that hold a chunk."""
         return {
-            seen.state.session
-            for seen in self.rows_by_start.values()
-            if seen.state.state == CLAIMED
+            row.state.session
+            for row in self.rows_by_start.values()
+            if row.state.state == CLAIMED
         }
 
 
-def count_deaths(seen: ChunkRow, died: bool) -> int:
-    """Return the deaths of a chunk, that of its present holder included."""
-    return seen.state.deaths + (1 if died else 0)
+def count_deaths(row: ChunkRow, holder_died: bool) -> int:
+    """Return how many holders of a chunk died, including the current one."""
+    return row.state.deaths + (1 if holder_died else 0)
 
 
 def must_fail(chunk: Chunk, deaths: int) -> bool:
-    """Return whether a lone item has lost enough holders to be failed."""
+    """Return whether a chunk of one item has lost enough holders to be failed."""
     return chunk.items == 1 and deaths >= FATAL_DEATHS_THRESHOLD
 
 
 def plan_claims(
     view: JobView,
-    own: str,
-    wanted: int,
+    instance: str,
+    capacity: int,
     size: int,
     abandoned: Callable[[ChunkRow, int], bool | None],
 ) -> list[Action]:
-    """Return what to do about ``view``, at most :data:`MAX_ACTIONS` together.
+    """Return the actions for ``view``, at most :data:`MAX_ACTIONS`.
 
     Args:
         view: the job's rows.
-        own: name that the order is drawn from.
-        wanted: items that there is room for.
+        instance: name that the order of chunks is derived from.
+        capacity: number of items that there is room for.
         size: items of a new chunk.
-        abandoned: for a claimed chunk and its start: None if its holder lives, else
-            whether the holder died (rather than let go of it).
+        abandoned: for a claimed chunk and its start: None if its holder is alive, else
+            whether the holder died (False if it released the chunk).
     """
     actions: list[Action] = []
-    for start, seen in _ordered(list(view.rows_by_start.items()), own):
-        if wanted <= 0 or len(actions) >= MAX_ACTIONS:
+    for start, row in _shuffled(list(view.rows_by_start.items()), instance):
+        if capacity <= 0 or len(actions) >= MAX_ACTIONS:
             return actions
-        if seen.state.state == DONE:
+        if row.state.state == DONE:
             continue
-        died: bool | None = False
-        if seen.state.state != FREE:
-            died = abandoned(seen, start)
-        if died is None:
+        holder_died: bool | None = False
+        if row.state.state != FREE:
+            holder_died = abandoned(row, start)
+        if holder_died is None:
             continue
-        chunk = Chunk(view.job.id, start, seen.state.end)
-        if count_deaths(seen, died) >= SPLIT_DEATHS_THRESHOLD and chunk.items > 1:
-            actions.append(Split(chunk, seen, split_chunk(chunk, MAX_SPLIT_PARTS)))
+        chunk = Chunk(view.job.id, start, row.state.end)
+        if count_deaths(row, holder_died) >= SPLIT_DEATHS_THRESHOLD and chunk.items > 1:
+            actions.append(Split(chunk, row, split_chunk(chunk, MAX_SPLIT_PARTS)))
             return actions
-        actions.append(TakeOver(chunk, seen, died))
-        wanted -= chunk.items
-    gaps = [(gap.start, gap) for gap in view.unclaimed_ranges()]
-    for start, gap in _ordered(gaps, own):
-        if wanted <= 0 or len(actions) >= MAX_ACTIONS:
+        actions.append(TakeOver(chunk, row, holder_died))
+        capacity -= chunk.items
+    unclaimed = [(free.start, free) for free in view.unclaimed_ranges()]
+    for start, free in _shuffled(unclaimed, instance):
+        if capacity <= 0 or len(actions) >= MAX_ACTIONS:
             break
-        chunk = Chunk(view.job.id, start, min(gap.end, start + size))
+        chunk = Chunk(view.job.id, start, min(free.end, start + size))
         actions.append(ClaimNew(chunk))
-        wanted -= chunk.items
+        capacity -= chunk.items
     return actions
 
 
-def _ordered(pairs: list[tuple[int, object]], own: str) -> list[tuple[int, object]]:
-    return sorted(pairs, key=lambda pair: stable_hash(own, str(pair[0])))
+def _shuffled(
+    pairs: list[tuple[int, object]], instance: str
+) -> list[tuple[int, object]]:
+    return sorted(pairs, key=lambda pair: stable_hash(instance, str(pair[0])))
 
 
-def stable_hash(own: str, key: str) -> int:
-    """Return a number that differs from name to name and is always the same."""
-    return xxhash.xxh3_64_intdigest(f"{own}\x00{key}".encode())
+def stable_hash(name: str, key: str) -> int:
+    """Return a 64-bit hash of both texts; the same in every process."""
+    return xxhash.xxh3_64_intdigest(f"{name}\x00{key}".encode())
