--- a/src/caperridge/decisions/configuration_order.py
+++ b/src/caperridge/decisions/configuration_order.py
@@ -1,7 +1,8 @@
-"""The order of configurations: deltas between versions, and only upward.
+"""Delta replication of the configuration: versions are applied in ascending order.
 
-A version is applied if it is higher than the one in force. A delta applies to one
-base version; what lies between makes a gap, which is asked for.
+A version is applied if it is higher than the one in force. A delta applies to exactly
+one base version; if that version is not in force, there is a gap, and the missing
+versions are requested.
 """
 
 from collections import OrderedDict
@@ -11,18 +12,19 @@
 from caperridge.config.model import KINDS_BY_FIELD, Configuration
 from caperridge.records import Record
 
-MAX_DELTAS = 64  # kept in memory, to answer peers that are a little behind
+MAX_DELTAS = 64  # held in memory to answer peers that are a few versions behind
 MAX_DELTA_BYTES = 2**20
 
 
 class Delta(Record):
-    """What leads from one version to a later one.
+    """The changes from one version to a later one.
 
     Attributes:
-        base_version: what it applies to.
-        version: what it leads to.
-        set_by_field: for each table of the configuration, things by name as maps.
-        removed_by_field: for each table, the names that go.
+        base_version: the version that it applies to.
+        version: the version that it results in.
+        set_by_field: for each table of the configuration, the added and changed
+            entries by name, as maps.
+        removed_by_field: for each table, the names of removed entries.
     """
 
     __slots__ = ("base_version", "removed_by_field", "set_by_field", "version")
@@ -41,7 +43,7 @@
 
 
 class PackedDelta(Record):
-    """A delta as bytes, so that fields of another release are passed on unharmed."""
+    """A delta as bytes, so that unknown fields of another release are forwarded."""
 
     __slots__ = ("base_version", "data", "version")
 
@@ -52,7 +54,7 @@
 
 
 class OfferResult(Enum):
-    """What became of a version that was offered."""
+    """The result of offering a version: applied, not newer, or its base is missing."""
 
     APPLIED = "applied"
     OLD = "old"
@@ -60,7 +62,7 @@
 
 
 def make_delta(before: Configuration, after: Configuration) -> Delta:
-    """Return what leads from ``before`` to ``after``."""
+    """Return the changes from ``before`` to ``after``."""
     delta = Delta(before.version, after.version)
     for field in KINDS_BY_FIELD:
         old, new = getattr(before, field), getattr(after, field)
@@ -76,9 +78,9 @@
 
 
 def apply_delta(base: Configuration, delta: Delta) -> Configuration:
-    """Return the version that ``delta`` leads to; unchanged things are shared.
+    """Return the version that ``delta`` results in; unchanged entries are shared.
 
-    Tables that this release does not know are left out.
+    Tables that this release does not know are omitted.
 
     Raises:
         ValueError: ``base`` is not the version that the delta applies to.
@@ -103,7 +105,11 @@
 
 
 class ConfigurationVersions:
-    """The version in force at one instance; it never goes down."""
+    """The version in force at one instance, which never decreases, and recent deltas.
+
+    Attributes:
+        current: the version in force.
+    """
 
     def __init__(self) -> None:
         self.current = Configuration()
@@ -111,14 +117,14 @@
         self._delta_bytes = 0
 
     def offer(self, configuration: Configuration) -> OfferResult:
-        """Take over a whole version if it is higher."""
+        """Apply a whole version if it is higher than the one in force."""
         if configuration.version <= self.current.version:
             return OfferResult.OLD
         self.current = configuration
         return OfferResult.APPLIED
 
     def offer_delta(self, delta: Delta, packed: PackedDelta) -> OfferResult:
-        """Take over what ``delta`` leads to if it is higher and its base is here."""
+        """Apply ``delta`` if its result is higher and its base is in force."""
         if delta.version <= self.current.version:
             return OfferResult.OLD
         if delta.base_version != self.current.version:
@@ -128,7 +134,7 @@
         return OfferResult.APPLIED
 
     def add_delta(self, packed: PackedDelta) -> None:
-        """Keep a delta for peers that are behind; the oldest make room."""
+        """Store a delta for peers that are behind; the oldest are evicted."""
         if packed.base_version in self._deltas_by_base:
             return
         self._deltas_by_base[packed.base_version] = packed
@@ -141,12 +147,16 @@
             self._delta_bytes -= len(dropped.data)
 
     def deltas_since(self, version: int) -> list[PackedDelta] | None:
-        """Return the deltas from ``version`` to the one in force; None: not kept."""
-        found: list[PackedDelta] = []
+        """Return the deltas from ``version`` to the one in force.
+
+        Returns:
+            The deltas in order; None if one of them is no longer stored.
+        """
+        deltas: list[PackedDelta] = []
         while version < self.current.version:
             packed = self._deltas_by_base.get(version)
             if packed is None:
                 return None
-            found.append(packed)
+            deltas.append(packed)
             version = packed.version
-        return found
+        return deltas
--- a/src/caperridge/decisions/effects.py
+++ b/src/caperridge/decisions/effects.py
@@ -1,4 +1,4 @@
-"""What a plan will do to targets, callers and jobs, and what may be unwanted."""
+"""Impact analysis of a plan: effects on targets, callers and jobs, and warnings."""
 
 from collections.abc import Iterable
 
@@ -12,13 +12,13 @@
 
 
 class Runner(Record):
-    """A target that a plan may concern.
+    """A target that a plan may affect.
 
     Attributes:
         id: of the target.
-        service: what it serves.
-        region: whose weight store it loads from.
-        loaded: what it was last seen to hold; None if it was not asked yet.
+        service: name of the service that it serves.
+        region: the region whose weight store it loads from.
+        loaded: what it last reported to hold; None if it was not polled yet.
     """
 
     __slots__ = ("id", "loaded", "region", "service")
@@ -33,12 +33,12 @@
 
 
 class PlanContext(Record):
-    """What is known of the world when a plan is made.
+    """The state of the fleet when a plan is made.
 
     Attributes:
-        operator: who asks.
-        runners: the targets, as far as this instance knows them.
-        open_jobs: None if the platform could not be asked.
+        operator: who requests the plan.
+        runners: the targets that this instance knows.
+        open_jobs: None if the platform could not be read.
     """
 
     __slots__ = ("open_jobs", "operator", "runners")
@@ -55,54 +55,54 @@
 
 
 def describe_effects(
-    plan: Plan, current: Configuration, wanted: Configuration, facts: PlanContext
+    plan: Plan, current: Configuration, wanted: Configuration, context: PlanContext
 ) -> Plan:
     """Return ``plan`` with its effects and warnings."""
-    account = _Account(current, wanted, facts)
+    impact = _ImpactReport(current, wanted, context)
     for service in wanted.services_by_name.values():
-        account.targets_of(service)
-    account.callers()
+        impact.add_target_loads(service)
+    impact.add_callers()
     for name in sorted(current.services_by_name.keys() | wanted.services_by_name):
-        account.jobs_of(name)
-        account.care_of(name)
-    account.operators()
-    if facts.open_jobs is None:
+        impact.add_jobs(name)
+        impact.add_service_warnings(name)
+    impact.add_operators()
+    if context.open_jobs is None:
         text = "the platform could not be asked for open jobs; some may be affected"
-        account.warnings.append(text)
-    return plan.replace(effects=account.effects, warnings=account.warnings)
+        impact.warnings.append(text)
+    return plan.replace(effects=impact.effects, warnings=impact.warnings)
 
 
-class _Account:
-    """Collects the sentences."""
+class _ImpactReport:
+    """Collects the sentences of a plan's effects and warnings."""
 
     def __init__(
-        self, current: Configuration, wanted: Configuration, facts: PlanContext
+        self, current: Configuration, wanted: Configuration, context: PlanContext
     ) -> None:
         self.effects: list[str] = []
         self.warnings: list[str] = []
         self._current = current
         self._wanted = wanted
-        self._facts = facts
+        self._context = context
 
-    def targets_of(self, service: Service) -> None:
-        """Say what the targets of ``service`` load, how much and how long."""
+    def add_target_loads(self, service: Service) -> None:
+        """Add what the targets of ``service`` load, its size and duration."""
         if service.kind != "engine":
             return
         before = self._current.services_by_name.get(service.name)
-        runners = [r for r in self._facts.runners if r.service == service.name]
+        runners = [r for r in self._context.runners if r.service == service.name]
         if before is None and not runners:
             text = f"service {service.name} has no target yet; calls are refused"
             self.warnings.append(text)
         gb_by_region: dict[str, float] = {}
         loading: list[str] = []
         for runner in runners:
-            gb = self._gb(service, before, runner)
+            gb = self._gb_to_load(service, before, runner)
             if gb <= 0:
                 continue
             loading.append(runner.id)
             gb_by_region[runner.region] = gb_by_region.get(runner.region, 0.0) + gb
         if loading:
-            self._loads(service, loading, gb_by_region)
+            self._add_load_effect(service, loading, gb_by_region)
         if loading and len(runners) == 1 and before is not None:
             text = f"{loading[0]} is the last runner of {service.name}: it is not"
             text += " switched before another one serves"
@@ -117,14 +117,16 @@
             text = f"{roles} runners of {service.name} take batch only"
             self.effects.append(text)
 
-    def _gb(self, service: Service, before: Service | None, runner: Runner) -> float:
+    def _gb_to_load(
+        self, service: Service, before: Service | None, runner: Runner
+    ) -> float:
         desired = desired_of(self._wanted, service)
         loaded = runner.loaded
         if loaded is None and before is not None:
             loaded = desired_of(self._current, before)
         return gb_between(self._wanted, loaded, desired)
 
-    def _loads(
+    def _add_load_effect(
         self, service: Service, loading: list[str], gb_by_region: dict[str, float]
     ) -> None:
         total = sum(gb_by_region.values())
@@ -138,8 +140,8 @@
             f" weight store, about {seconds:.0f} s"
         )
 
-    def callers(self) -> None:
-        """Say which callers lose access, to all or to some services."""
+    def add_callers(self) -> None:
+        """Add which callers lose access to all or to some services."""
         removed: list[str] = []
         replaced: list[str] = []
         for name, caller in sorted(self._current.callers_by_name.items()):
@@ -150,7 +152,9 @@
             if after.token_sha256 != caller.token_sha256:
                 replaced.append(name)
             lost = [
-                s for s in self._usable(self._current, name) if not after.may_use(s)
+                s
+                for s in self._usable_services(self._current, name)
+                if not after.may_use(s)
             ]
             if lost:
                 self.effects.append(f"caller {name} loses {_names(lost)}")
@@ -161,13 +165,13 @@
             self.effects.append(f"the old tokens of {_names(replaced)} are refused")
 
     @staticmethod
-    def _usable(configuration: Configuration, name: str) -> list[str]:
+    def _usable_services(configuration: Configuration, name: str) -> list[str]:
         caller = configuration.callers_by_name[name]
         return [s for s in configuration.services_by_name if caller.may_use(s)]
 
-    def jobs_of(self, name: str) -> None:
-        """Say which open jobs a service's change concerns."""
-        jobs = [job for job in self._facts.open_jobs or [] if job.service == name]
+    def add_jobs(self, name: str) -> None:
+        """Add which open jobs are affected by the change of a service."""
+        jobs = [job for job in self._context.open_jobs or [] if job.service == name]
         if not jobs:
             return
         before = self._current.services_by_name.get(name)
@@ -188,8 +192,8 @@
             text = f"open jobs of {_names(orphans)} run on, but nobody can read them"
             self.warnings.append(text)
 
-    def care_of(self, name: str) -> None:
-        """Warn of changes that undo a promise of a service."""
+    def add_service_warnings(self, name: str) -> None:
+        """Add warnings of changes that weaken a guarantee of a service."""
         before = self._current.services_by_name.get(name)
         after = self._wanted.services_by_name.get(name)
         if before is None:
@@ -213,10 +217,13 @@
             text = f'targets of {name} are believed when they say "not run"'
             self.warnings.append(text)
 
-    def operators(self) -> None:
-        """Warn an operator who locks somebody out."""
-        before, after = self._current.operators_by_name, self._wanted.operators_by_name
-        own = self._facts.operator
+    def add_operators(self) -> None:
+        """Add which operators lose access, with a warning if it is the caller."""
+        before, after = (
+            self._current.operators_by_name,
+            self._wanted.operators_by_name,
+        )
+        own = self._context.operator
         if own in before and own not in after:
             self.warnings.append(f"you ({own}) lose your own access")
         elif own in before and before[own] != after[own]:
@@ -230,7 +237,7 @@
 
 
 def _names(names: Iterable[str]) -> str:
-    found = list(names)
-    shown = ", ".join(found[:MAX_SHOWN_NAMES])
-    more = len(found) - MAX_SHOWN_NAMES
+    all_names = list(names)
+    shown = ", ".join(all_names[:MAX_SHOWN_NAMES])
+    more = len(all_names) - MAX_SHOWN_NAMES
     return f"{shown} and {more} more" if more > 0 else shown
--- a/src/caperridge/decisions/item_failures.py
+++ b/src/caperridge/decisions/item_failures.py
@@ -1,4 +1,4 @@
-"""What to do about a batch item whose attempt failed: retry, alone, or give up."""
+"""Retry policy of batch items: exponential backoff, isolation and a retry budget."""
 
 from functools import singledispatch
 
@@ -12,6 +12,7 @@
     WrongAnswer,
 )
 
+# From this many faults on, an item is retried in isolation.
 ISOLATION_FAULTS = 2
 MAX_FAULTS = 5
 INITIAL_RETRY_DELAY_S = 0.2
@@ -22,10 +23,13 @@
 
 
 class Retry(Record):
-    """Try again after ``delay_s``; ``faults`` counts the faults that may be its own.
+    """Retry the item after a delay.
 
-    ``alone`` says that it may have broken its targets, and must not be tried together
-    with other such items.
+    Attributes:
+        faults: failed attempts so far that the item itself may have caused.
+        delay_s: delay before the retry.
+        alone: it may have crashed its targets, and must not be retried together with
+            other such items.
     """
 
     __slots__ = ("alone", "delay_s", "faults")
@@ -37,7 +41,7 @@
 
 
 class FailItem(Record):
-    """The item can never be done."""
+    """Fail the item for good."""
 
     __slots__ = ("code", "reason", "status")
 
@@ -50,12 +54,12 @@
 def after_failure(
     error: AttemptError, request: str, faults: int, tries: int
 ) -> Retry | FailItem:
-    """Return what to do.
+    """Return whether to retry an item after a failed attempt, or to fail it.
 
     Args:
         error: of the attempt.
-        request: id of the item's request; the jitter is drawn from it.
-        faults: faults before this attempt that may be the item's own.
+        request: id of the item's request; the jitter is derived from it.
+        faults: earlier failed attempts that the item itself may have caused.
         tries: attempts before this one.
     """
     if isinstance(error, TargetRefused) and error.permanent:
@@ -83,7 +87,7 @@
 
 @may_be_item_fault.register
 def _(error: TargetRefused) -> bool:
-    # A target that says "not run", or is full or leaving, speaks of itself.
+    # "Not run", full and leaving describe the state of the target, not the item.
     return error.run != "not_run" and error.status not in (429, 503)
 
 
@@ -94,22 +98,29 @@
 
 
 class RetryBudget:
-    """Bounds retries to a share of the items that end, and a floor each second."""
+    """Token bucket for retries, filled by a share of finished items and by time.
+
+    The refill over time permits some retries while no item finishes.
+    """
 
     def __init__(self) -> None:
         self._level = MAX_RETRY_BUDGET
-        self._at: float | None = None
+        self._refilled_at: float | None = None
 
     def record_finished_item(self) -> None:
-        """Note that an item ended, whatever its outcome."""
+        """Record that an item finished, whatever its outcome."""
         self._level = min(MAX_RETRY_BUDGET, self._level + RETRY_BUDGET_RATIO)
 
     def take(self, now: float) -> bool:
-        """Return whether one more retry may start at ``now``."""
-        if self._at is not None:
-            earned = (now - self._at) * MIN_RETRIES_PER_S
+        """Take a retry out of the budget; False if there is none at ``now``.
+
+        Args:
+            now: monotonic seconds.
+        """
+        if self._refilled_at is not None:
+            earned = (now - self._refilled_at) * MIN_RETRIES_PER_S
             self._level = min(MAX_RETRY_BUDGET, self._level + earned)
-        self._at = now
+        self._refilled_at = now
         if self._level < 1.0:
             return False
         self._level -= 1.0
--- a/src/caperridge/decisions/job_board.py
+++ b/src/caperridge/decisions/job_board.py
@@ -1,4 +1,4 @@
-"""The open jobs as one instance knows them, and how much to claim of which."""
+"""Work claiming: the open jobs of one instance, and how many items to claim."""
 
 from caperridge.decisions.job_order import JobLoad, order_jobs
 from caperridge.decisions.jobs import Job
@@ -11,13 +11,13 @@
 
 
 class ClaimQuota(Record):
-    """How many items of a service to claim, and of which jobs first.
+    """How many items of a service to claim, and the order of its jobs.
 
     Attributes:
-        items: how many.
-        slots: items that run side by side here.
-        items_per_s: of the service here; 0 if not known.
-        loads: its open jobs in order.
+        items: number of items to claim.
+        slots: items that run concurrently on this instance.
+        items_per_s: throughput of the service on this instance; 0 if not known.
+        loads: its open jobs, the first to claim first.
     """
 
     __slots__ = ("items", "items_per_s", "loads", "slots")
@@ -32,10 +32,13 @@
 
 
 class OpenJobs:
-    """Keeps the open jobs, their rest, why they wait, and the pace of each service.
+    """The open jobs: remaining items, wait reasons and throughput by service.
 
     Args:
-        instance: id of the instance; ties in the order are drawn from it.
+        instance: id of the instance; ties in the order of jobs are broken by its hash.
+
+    Attributes:
+        jobs_by_id: the open jobs.
     """
 
     def __init__(self, instance: str) -> None:
@@ -50,22 +53,22 @@
         return {job.service for job in self.jobs_by_id.values()}
 
     def meter(self, service: str) -> RateMeter:
-        """Return the meter of a service."""
+        """Return the throughput meter of a service."""
         return self._meters_by_service.setdefault(service, RateMeter())
 
     def add(self, job: Job) -> None:
-        """Note an open job."""
+        """Add an open job."""
         self.jobs_by_id[job.id] = job
 
     def replace(self, jobs: list[Job]) -> list[str]:
-        """Take over the list of all open jobs; return the ids of those that ended."""
+        """Replace all open jobs; return the ids of those that are no longer open."""
         open_by_id = {job.id: job for job in jobs}
-        ended = [job_id for job_id in self.jobs_by_id if job_id not in open_by_id]
+        finished = [job_id for job_id in self.jobs_by_id if job_id not in open_by_id]
         self.jobs_by_id = open_by_id
-        return ended
+        return finished
 
     def remove(self, job_id: str) -> None:
-        """Forget a job that has ended."""
+        """Remove a job that is no longer open."""
         self.jobs_by_id.pop(job_id, None)
         self._remaining_by_job.pop(job_id, None)
         self._reasons_by_job.pop(job_id, None)
@@ -76,14 +79,20 @@
         reasons_by_job: dict[str, str],
         remaining_by_job: dict[str, int],
     ) -> None:
-        """Note what a round of claims found."""
+        """Record the result of a round of claims.
+
+        Args:
+            service: whose jobs were claimed from.
+            reasons_by_job: why nothing was claimed of a job.
+            remaining_by_job: items of a job that are not committed.
+        """
         self._remaining_by_job.update(remaining_by_job)
         for job_id, job in self.jobs_by_id.items():
             if job.service == service:
                 self._reasons_by_job[job_id] = reasons_by_job.get(job_id, "")
 
     def wait_reason(self, job_id: str) -> str:
-        """Return why nothing more of a job was claimed; empty if something was."""
+        """Return why the last round claimed nothing of a job; empty if it did."""
         return self._reasons_by_job.get(job_id, "")
 
     def claim_quota(
@@ -97,21 +106,21 @@
         """Return what to claim of a service; None for nothing.
 
         Args:
-            service: which one.
-            room: items that could start at once; None if no target is there. Then
-                nothing is claimed ahead: what is in hand is about to be given back.
-            in_hand_by_job: items claimed here that have not ended.
+            service: name of the service.
+            room: items that could start at once; None if there is no target. In that
+                case nothing is claimed ahead: claimed items are about to be returned.
+            in_hand_by_job: items claimed by this instance that have not finished.
             now: monotonic seconds.
             wall: seconds since the epoch.
         """
         in_hand = sum(in_hand_by_job.values())
         if room is None or (in_hand == 0 and room == 0):
-            self._all_wait(service, NO_ROOM)
+            self._set_wait_reason(service, NO_ROOM)
             return None
         rate = self.meter(service).per_s(now)
         ahead = min(MAX_IN_HAND_ITEMS, room + int(rate * CLAIM_AHEAD_S))
         if room == 0 and in_hand >= ahead:
-            self._all_wait(service, "")
+            self._set_wait_reason(service, "")
             return None
         loads: list[JobLoad] = []
         for job in self.jobs_by_id.values():
@@ -123,7 +132,7 @@
         slots = max(1, min(in_hand, MAX_IN_HAND_ITEMS) + room)
         return ClaimQuota(max(room, ahead - in_hand), slots, rate, ordered)
 
-    def _all_wait(self, service: str, reason: str) -> None:
+    def _set_wait_reason(self, service: str, reason: str) -> None:
         for job_id, job in self.jobs_by_id.items():
             if job.service == service:
                 self._reasons_by_job[job_id] = reason
