--- a/src/caperridge/decisions/job_reads.py
+++ b/src/caperridge/decisions/job_reads.py
@@ -1,16 +1,17 @@
-"""When to read what changed among the jobs, and what to make of a peer's reading.
+"""Change feed and anti-entropy of the open jobs: when to read, what to take of a peer.
 
 One instance of each availability zone, the reader, polls the row of changes and scans
-the index of open jobs; what it finds it shares with its zone. It holds no lease: two
-readers cost reads, none costs time. The others read for themselves
+the index of open jobs; it shares the results with its zone. The reader holds no lease:
+two readers only cost additional reads, and no reader only costs time. The other
+instances read by themselves
 
-- seldom, so that a reader that is wrong without knowing it does bounded harm,
-- as often as the reader while nothing new enough was heard of one,
-- soon after news with a gap, and after a hint that no news followed,
-- soon after a digest of the open jobs that is not that of their own.
+- at long intervals, so that a reader that is wrong without noticing does bounded harm,
+- as often as the reader while no recent update of a reader was received,
+- soon after an update with a gap, and after a hint that no update followed,
+- soon after a digest of the open jobs that differs from their own.
 
-The numbers of the changes are those of the row, so news from two readers, late or
-doubled news, and news with a gap are told apart without knowing who sent them.
+Changes carry the sequence numbers of the row, so updates from two readers, late or
+duplicated updates and updates with a gap are update apart without knowing the sender.
 """
 
 import enum
@@ -34,7 +35,7 @@
 
 
 class UpdateKind(enum.Enum):
-    """What news of a reader is worth."""
+    """How a reader's update relates to the changes known here."""
 
     NEW = "new"
     SAME = "same"
@@ -43,11 +44,11 @@
 
 
 class Changes(Record):
-    """Changes of the row: those after ``base``, up to ``number``.
+    """The changes of the row after ``base``, up to and including ``number``.
 
     Attributes:
-        base: number of the last change before them.
-        number: of the newest change.
+        base: sequence number of the last change before them.
+        number: sequence number of the newest change.
         changes: ``[subject, state]`` of each.
     """
 
@@ -59,7 +60,7 @@
         self.changes = changes
 
     def is_consistent(self) -> bool:
-        """Return whether there are as many changes as the numbers say."""
+        """Return whether the number of changes matches the sequence numbers."""
         return 0 <= self.base == self.number - len(self.changes)
 
 
@@ -74,123 +75,141 @@
 
 
 class JobReadSchedule:
-    """What one instance knows of the changes, and when it reads next.
+    """The changes that one instance knows, and when it reads next.
+
+    All times are monotonic seconds.
 
     Args:
-        jitter: so that the instances of a zone do not read in step.
+        rng: source of jitter, so that the instances of a zone do not read in step.
+
+    Attributes:
+        number: sequence number of the newest known change; None before the first read.
+        open_ids: ids of the open jobs.
     """
 
-    def __init__(self, jitter: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         self.number: int | None = None
         self.open_ids: set[str] = set()
-        self._random = jitter
-        self._heard_at = float("-inf")
-        self._fast_at = float("-inf")
-        self._slow_at = float("-inf")
-        self._soon_at: float | None = None
-        self._scan_wanted = False
+        self._rng = rng
+        self._last_received_at = float("-inf")
+        self._reader_poll_at = float("-inf")
+        self._fallback_poll_at = float("-inf")
+        self._catch_up_at: float | None = None
+        self._scan_pending = False
         self._scanned_at = float("-inf")
-        self._scan_share = 1.0
+        self._scan_jitter = 1.0
         self._shared_at = float("-inf")
 
     def polls_as_reader(self, now: float, reader: bool) -> bool:
-        """Return whether this instance has to read as a reader does."""
-        quiet = now - self._heard_at >= READER_TIMEOUT_S
-        return reader or self.number is None or quiet
+        """Return whether this instance polls at the reader's interval."""
+        reader_silent = now - self._last_received_at >= READER_TIMEOUT_S
+        return reader or self.number is None or reader_silent
 
     def poll_due(self, now: float, reader: bool) -> bool:
         """Return whether to poll the row of changes."""
-        if self.polls_as_reader(now, reader) and now >= self._fast_at:
+        if self.polls_as_reader(now, reader) and now >= self._reader_poll_at:
             return True
-        if self._soon_at is not None and now >= self._soon_at:
+        if self._catch_up_at is not None and now >= self._catch_up_at:
             return True
-        return now >= self._slow_at
+        return now >= self._fallback_poll_at
 
     def scan_due(self, now: float, reader: bool) -> bool:
-        """Return whether a poll is to be followed by a scan of the open jobs."""
-        if self._scan_wanted:
+        """Return whether a poll must be followed by a scan of the open jobs."""
+        if self._scan_pending:
             return True
         every_s = (
             SCAN_INTERVAL_S
             if self.polls_as_reader(now, reader)
             else FALLBACK_SCAN_INTERVAL_S
         )
-        return now - self._scanned_at >= every_s * self._scan_share
+        return now - self._scanned_at >= every_s * self._scan_jitter
 
     def record_hint(self, now: float, reader: bool) -> None:
-        """Note that something changed, as somebody says."""
+        """Record a hint of a peer that a job changed."""
         if reader or self.number is None:
-            self._fast_at = now
+            self._reader_poll_at = now
             return
-        # The reader was told too; its news comes first unless something is wrong.
-        self._read_by(now + HINT_DELAY_S * self._draw())
+        # The reader got the hint too; its update normally arrives before this poll.
+        self._catch_up_by(now + HINT_DELAY_S * self._jitter())
 
     def record_poll_sent(self, now: float) -> None:
-        """Note that a poll was sent."""
-        self._fast_at = now + POLL_INTERVAL_S * self._draw()
-        self._slow_at = now + FALLBACK_POLL_INTERVAL_S * self._draw()
-        self._soon_at = None
+        """Record that a poll was sent."""
+        self._reader_poll_at = now + POLL_INTERVAL_S * self._jitter()
+        self._fallback_poll_at = now + FALLBACK_POLL_INTERVAL_S * self._jitter()
+        self._catch_up_at = None
 
     def record_read_failed(self, now: float) -> None:
-        """Note that a poll or scan failed; what was wanted soon still is."""
-        if self._scan_wanted:
-            self._read_by(now + POLL_INTERVAL_S * self._draw())
+        """Record that a poll or scan failed; a pending scan is retried soon."""
+        if self._scan_pending:
+            self._catch_up_by(now + POLL_INTERVAL_S * self._jitter())
 
     def record_poll(self, number: int) -> None:
-        """Note that every change up to ``number`` was taken."""
+        """Record that every change up to ``number`` was applied."""
         self.number = number
 
     def record_scan(self, now: float, number: int, open_ids: set[str]) -> None:
-        """Note a scan of the open jobs, sent when ``number`` was the newest change."""
+        """Record a scan of the open jobs.
+
+        Args:
+            now: when it was read.
+            number: the newest change when the scan was sent.
+            open_ids: ids of the open jobs.
+        """
         self.number = number
         self.open_ids = open_ids
         self._scanned_at = now
-        self._scan_share = self._draw()
-        self._scan_wanted = False
+        self._scan_jitter = self._jitter()
+        self._scan_pending = False
 
-    def share_due(self, now: float, news: bool) -> bool:
-        """Return whether the reader is to tell its zone; if so, it is taken as told."""
-        if not news and now - self._shared_at < SHARE_INTERVAL_S:
+    def share_due(self, now: float, has_updates: bool) -> bool:
+        """Return whether the reader should share now; if so, record that it did."""
+        if not has_updates and now - self._shared_at < SHARE_INTERVAL_S:
             return False
         self._shared_at = now
         return True
 
-    def receive(self, now: float, told: Changes) -> tuple[UpdateKind, list[list[str]]]:
-        """Weigh a reader's news; return the changes that are new here.
+    def receive(
+        self, now: float, update: Changes
+    ) -> tuple[UpdateKind, list[list[str]]]:
+        """Classify a reader's update; return the changes that are new here.
 
-        They count as taken: the caller acts on them, or calls :meth:`unread`.
+        They count as applied: the caller applies them or calls :meth:`schedule_scan`.
         """
-        if self.number is None or not told.is_consistent() or told.number < self.number:
-            # What is older than what is known says nothing of how things are now.
+        if (
+            self.number is None
+            or not update.is_consistent()
+            or update.number < self.number
+        ):
+            # An update older than what is known does not describe the current state.
             return UpdateKind.STALE, []
-        if told.base > self.number:
-            self._heard_at = now
-            self._read_by(now + MAX_CATCH_UP_DELAY_S * self._random.random())
+        if update.base > self.number:
+            self._last_received_at = now
+            self._catch_up_by(now + MAX_CATCH_UP_DELAY_S * self._rng.random())
             return UpdateKind.GAP, []
-        self._heard_at = now
-        if told.number == self.number:
+        self._last_received_at = now
+        if update.number == self.number:
             return UpdateKind.SAME, []
-        fresh = told.changes[self.number - told.base :]
-        self.number = told.number
-        if not self._scan_wanted:
-            self._soon_at = None
-        return UpdateKind.NEW, fresh
+        new_changes = update.changes[self.number - update.base :]
+        self.number = update.number
+        if not self._scan_pending:
+            self._catch_up_at = None
+        return UpdateKind.NEW, new_changes
 
     def compare_digest(self, now: float, number: int, digest: int) -> None:
-        """Compare the open jobs with those that a reader found in its scan."""
+        """Compare the open jobs with the digest of a reader's scan."""
         if digest == NO_DIGEST or number != self.number:
             return
         if digest != digest_of_jobs(self.open_ids):
             self.schedule_scan(now)
 
     def schedule_scan(self, now: float) -> None:
-        """Scan soon, as something is known to be missing."""
-        self._scan_wanted = True
-        self._read_by(now + MAX_CATCH_UP_DELAY_S * self._random.random())
+        """Schedule a scan soon, because a change is known to be missing."""
+        self._scan_pending = True
+        self._catch_up_by(now + MAX_CATCH_UP_DELAY_S * self._rng.random())
 
-    def _read_by(self, at: float) -> None:
-        if self._soon_at is None or at < self._soon_at:
-            self._soon_at = at
+    def _catch_up_by(self, at: float) -> None:
+        if self._catch_up_at is None or at < self._catch_up_at:
+            self._catch_up_at = at
 
-    def _draw(self) -> float:
-        return 1 + JITTER_RATIO * (2 * self._random.random() - 1)
+    def _jitter(self) -> float:
+        return 1 + JITTER_RATIO * (2 * self._rng.random() - 1)
--- a/src/caperridge/decisions/jobs.py
+++ b/src/caperridge/decisions/jobs.py
@@ -1,4 +1,4 @@
-"""What a job and its chunks are, as their rows hold them."""
+"""Data model of batch jobs, chunks and item results, as their rows hold them."""
 
 from typing import Any
 
@@ -17,18 +17,18 @@
     """One batch job.
 
     Attributes:
-        id: its name towards the caller.
-        caller: whom it belongs to.
-        service: which service its items go to.
+        id: the id that the caller uses.
+        caller: name of the caller that owns it.
+        service: name of the service that runs its items.
         endpoint: path of the items, e.g. ``/v1/chat/completions``.
         file: id of the file with the items.
-        items: how many.
+        items: number of items.
         lane_items: items of one lane; see :mod:`caperridge.decisions.chunks`.
         state: ``open``, ``cancelled`` or ``completed``.
-        due: when it should be done, seconds since the epoch.
+        due: when it should be completed, seconds since the epoch.
         created: when it was accepted, seconds since the epoch.
-        ended: when it was cancelled or completed; 0 before.
-        body_digest: of what was asked, to tell a resend from another request.
+        ended: when it was cancelled or completed, seconds since the epoch; 0 before.
+        body_digest: of the request body, to tell a resend from another request.
         metadata: what the caller attached.
         completed: items with an answer; 0 until the job is completed.
         failed: items that failed for good; 0 until the job is completed.
@@ -88,16 +88,16 @@
 
 
 class ChunkState(Record):
-    """The row of a chunk, named by its first item.
+    """The row of a chunk, keyed by its first item.
 
     Attributes:
-        end: the item after its last one.
+        end: index of the item after its last one.
         state: ``claimed``, ``free`` after a split, or ``done``.
-        session: who claims it.
-        attempts: claims so far, this one included; durable before any work starts.
-        deaths: holders whose session lapsed while they held it.
+        session: the session that claimed it.
+        attempts: claims so far, including this one; durable before any work starts.
+        deaths: number of holders whose session lapsed while they held it.
         previous: the session that held it before; its checkpoint may have results.
-        result: object with the results, once done.
+        result: name of the object with the results, once done.
         completed: items with an answer, once done.
         failed: items that failed for good, once done.
     """
@@ -138,7 +138,7 @@
 
 
 class ItemFaults(Record):
-    """How many faults that may be its own an item has had, while it has no result."""
+    """The faults of an item without a result that the item itself may have caused."""
 
     __slots__ = ("faults", "index")
 
@@ -148,11 +148,11 @@
 
 
 class CheckpointedItems(Record):
-    """What an earlier holder of a chunk saved of its items.
+    """The items of a chunk that an earlier holder saved in checkpoints.
 
     Attributes:
-        results_by_index: of the items that have ended, as maps of ``ItemResult``.
-        faults_by_index: of items that have had faults.
+        results_by_index: of the finished items, as maps of ``ItemResult``.
+        faults_by_index: number of faults of unfinished items.
     """
 
     __slots__ = ("faults_by_index", "results_by_index")
@@ -166,18 +166,18 @@
         self.faults_by_index = faults_by_index or {}
 
     def add(self, saved: dict[str, Any]) -> None:
-        """Take one entry of a checkpoint, of either kind."""
+        """Add one entry of a checkpoint, a result or a fault count."""
         index = saved["index"]
         if "faults" not in saved:
             self.results_by_index[index] = saved
             return
-        # Slots are read in any order, and faults only ever become more.
+        # Slots are read in any order, and the number of faults only increases.
         known = self.faults_by_index.get(index, 0)
         self.faults_by_index[index] = max(known, saved["faults"])
 
 
 class ItemResult(Record):
-    """What became of one item, as the result object holds it, a JSON line each."""
+    """The result of one item, stored as one JSON line of the result object."""
 
     __slots__ = ("body", "custom_id", "error", "index", "status")
 
--- a/src/caperridge/decisions/order_leases.py
+++ b/src/caperridge/decisions/order_leases.py
@@ -1,20 +1,20 @@
-"""Who orders a target: one instance at a time, through a row of the table.
+"""Leases with fencing tokens: one instance at a time sends orders to a target.
 
-The row names the holder's session and a fencing number, which each take-over raises.
-The row is written on a take-over and a release only; the session's renewals keep the
-hold alive. A holder whose session ended may still act for a moment: a target that
-checks fencing numbers refuses it, and before any other target gets its first order
-from a new holder, the former one's lease is waited out.
+The row of a target names the holder's session and a fencing number that each takeover
+increments. The row is written only on a takeover and a release; renewals of the
+session keep the lease alive. A holder whose session ended may still act for a moment:
+a target that checks fencing numbers refuses it; for any other target, the new holder
+waits until the previous lease has expired before it sends its first order.
 """
 
 from caperridge.records import Record
 
 ALIVE = "alive"
-CLOCK_DRIFT_RATIO = 0.05  # share of a lease by which clocks may run apart
+CLOCK_DRIFT_RATIO = 0.05  # share of a lease by which two clocks may drift apart
 
 
 class OrderRow(Record):
-    """The row of a target; ``holder`` is a session, empty once released."""
+    """The row of a target; ``holder`` is a session id, empty after a release."""
 
     __slots__ = ("fence", "holder", "lease_s")
 
@@ -35,7 +35,7 @@
 
 
 class TakeOver(Record):
-    """Write the row with this fencing number; order nothing before ``not_before``."""
+    """Write the row with this fencing number; send no order before ``not_before``."""
 
     __slots__ = ("fence", "not_before")
 
@@ -55,7 +55,7 @@
 
 
 class Wait(Record):
-    """Somebody else holds it, as far as is known."""
+    """Another instance may still hold the lease."""
 
     __slots__ = ()
 
@@ -64,17 +64,21 @@
 
 
 class OrderLease:
-    """What one instance knows of who orders one target.
+    """The lease of one target as row by one instance.
 
     Args:
         checks_fencing: whether the target refuses an old fencing number.
+
+    Attributes:
+        fence: the fencing number while this instance holds the lease.
+        session: the own session that holds it; empty if it is not held.
     """
 
     __slots__ = (
+        "_last_version",
         "_not_before",
-        "_seen_version",
-        "_since",
-        "_watched",
+        "_unchanged_since",
+        "_watched_session",
         "checks_fencing",
         "fence",
         "session",
@@ -85,9 +89,9 @@
         self.fence = 0
         self.session = ""
         self._not_before = 0.0
-        self._watched = ""
-        self._seen_version = 0
-        self._since = 0.0
+        self._watched_session = ""
+        self._last_version = 0
+        self._unchanged_since = 0.0
 
     def held_by(self, session: str) -> bool:
         """Return whether this instance holds the target under ``session``."""
@@ -96,61 +100,61 @@
     def decide(
         self, row: OrderRow | None, holder: SessionRow, own_session: str, now: float
     ) -> Decision:
-        """Return what to do about a target that this instance should order.
+        """Return how to proceed with a target that this instance should order.
 
         Args:
-            row: as read; None if nobody ever ordered the target.
-            holder: the session that the row names.
-            own_session: under which this instance would hold it.
+            row: as read; None if the target never had a holder.
+            holder: row of the session that ``row`` names.
+            own_session: the session under which this instance would hold it.
             now: monotonic seconds.
         """
         if row is None:
             return TakeOver(1, now)
         if row.holder in ("", own_session):
             return TakeOver(row.fence + 1, now)
-        if not self._unrenewed(row.holder, holder):
-            self._since = now
-        self._watched, self._seen_version = row.holder, holder.version
-        over = self._since + row.lease_s * (1 + CLOCK_DRIFT_RATIO)
+        if not self._is_unrenewed(row.holder, holder):
+            self._unchanged_since = now
+        self._watched_session, self._last_version = row.holder, holder.version
+        expires_at = self._unchanged_since + row.lease_s * (1 + CLOCK_DRIFT_RATIO)
         if holder.state == ALIVE:
-            if now < over:
+            if now < expires_at:
                 return Wait()
             return DeclareLapsed(row.holder, holder.version)
-        # Whoever ended the session, its holder may believe in it until its own clock
-        # says otherwise; only a number that the target checks makes up for that.
-        return TakeOver(row.fence + 1, now if self.checks_fencing else over)
+        # Whoever ended the session, its holder may rely on it until its own clock says
+        # otherwise; only a fencing number that the target checks protects against that.
+        return TakeOver(row.fence + 1, now if self.checks_fencing else expires_at)
 
-    def _unrenewed(self, session: str, seen: SessionRow) -> bool:
-        """Return whether the holder cannot have renewed since the last look."""
-        if session != self._watched:
+    def _is_unrenewed(self, session: str, row: SessionRow) -> bool:
+        """Return whether the holder cannot have renewed since the last read."""
+        if session != self._watched_session:
             return False
-        if seen.version == self._seen_version:
+        if row.version == self._last_version:
             return True
-        # The write that ended the session raised its row's version once.
-        return seen.state != ALIVE and seen.version == self._seen_version + 1
+        # The write that ended the session incremented its row's version once.
+        return row.state != ALIVE and row.version == self._last_version + 1
 
-    def record_takeover(self, session: str, taken: TakeOver) -> None:
-        """Note that the row is written."""
+    def record_takeover(self, session: str, takeover: TakeOver) -> None:
+        """Record that the row was written."""
         self.session = session
-        self.fence = taken.fence
-        self._not_before = taken.not_before
-        self._watched = ""
+        self.fence = takeover.fence
+        self._not_before = takeover.not_before
+        self._watched_session = ""
 
     def mark_lost(self) -> None:
-        """Note that the target is not held, or no longer."""
+        """Record that the lease is not held, or no longer held."""
         self.session = ""
 
     def may_order(
-        self, session: str, left_s: float, deadline_s: float, now: float
+        self, session: str, remaining_s: float, deadline_s: float, now: float
     ) -> bool:
-        """Return whether an order may leave now.
+        """Return whether an order may be sent now.
 
         Args:
-            session: the own session now.
-            left_s: what is left of its lease.
-            deadline_s: after which the order is given up; within the lease.
+            session: the current session of this instance.
+            remaining_s: remaining time of its lease.
+            deadline_s: time-out of the order, which must end within the lease.
             now: monotonic seconds.
         """
         if not self.held_by(session) or now < self._not_before:
             return False
-        return left_s > deadline_s
+        return remaining_s > deadline_s
--- a/src/caperridge/instance/jobs_reader.py
+++ b/src/caperridge/instance/jobs_reader.py
@@ -130,7 +130,7 @@
         if isinstance(after, Err) or after.ok_value[0] != number:
             # A digest of jobs that change just now would make the zone scan.
             return
-        self._reads.share_due(self._clock(), news=True)
+        self._reads.share_due(self._clock(), has_updates=True)
         digest = digest_of_jobs(open_ids)
         self._peers.send_zone(JobsRead(number, number, digest=digest))
 
@@ -151,7 +151,7 @@
             if job is not None and state == OPEN:
                 jobs.append(job)
         self._reads.record_poll(found.number)
-        if reader and self._reads.share_due(self._clock(), news=bool(shared)):
+        if reader and self._reads.share_due(self._clock(), has_updates=bool(shared)):
             news = JobsRead(found.number, found.base, shared, _bounded(jobs))
             self._peers.send_zone(news)
 
