--- a/src/caperridge/gateway/held_rows.py
+++ b/src/caperridge/gateway/held_rows.py
@@ -33,11 +33,11 @@
 # lost before that one comes.
 MIN_STORED_CRASHES = 2
 # While the store is away.
-PAUSE_S = 1.0
+RETRY_DELAY_S = 1.0
 # Between two writes; a crash makes a few rows, and no hurry.
-PACE_S = 0.02
+WRITE_INTERVAL_S = 0.02
 # Whoever waits for the right to try again is told at once that it is not to be had.
-CLAIM_S = 0.25
+CLAIM_TIMEOUT_S = 0.25
 
 
 class HeldRow(Record):
@@ -92,35 +92,35 @@
         self._reach = reach
         self._quarantine = quarantine
         # In the order in which they are to be written.
-        self._changed: dict[str, None] = {}
+        self._pending: dict[str, None] = {}
         self._wake = asyncio.Event()
 
     def schedule_write(self, content: str) -> None:
         """Have the row of a content written, or removed, soon."""
-        self._changed[content] = None
+        self._pending[content] = None
         self._wake.set()
 
     async def run(self) -> None:
         """Write what changed until cancelled."""
         while True:
-            if not self._changed or not self._clock.known:
+            if not self._pending or not self._clock.known:
                 self._wake.clear()
-                await self._waited()
+                await self._wait()
                 continue
-            content = next(iter(self._changed))
-            del self._changed[content]
+            content = next(iter(self._pending))
+            del self._pending[content]
             if await self._write(content):
-                await asyncio.sleep(PACE_S)
+                await asyncio.sleep(WRITE_INTERVAL_S)
                 continue
-            self._changed.setdefault(content)
-            await asyncio.sleep(PAUSE_S)
+            self._pending.setdefault(content)
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _waited(self) -> None:
+    async def _wait(self) -> None:
         """Wait for a change, or a while for the store's clock."""
-        if not self._changed:
+        if not self._pending:
             await self._wake.wait()
             return
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_DELAY_S)
 
     async def _write(self, content: str) -> bool:
         """Bring the row of a content up to date; False if that is not done yet."""
@@ -128,8 +128,8 @@
         row = self.copy.rows_by_key.get(key)
         version = row.version if row is not None else ABSENT
         suspect = self._quarantine.by_content.get(content)
-        if suspect is not None and _is_worth_a_row(suspect):
-            value = self._value(suspect)
+        if suspect is not None and _is_stored(suspect):
+            value = self._encode(suspect)
             return await self._transact(Transaction({key: version}, {key: value}), key)
         if row is None:
             return True
@@ -143,11 +143,11 @@
         if hold is None or not self._clock.known or not self._reach.reached:
             return False
         claimed = hold.after_trial(elapsed_s())
-        value = self._value(suspect, claimed)
+        value = self._encode(suspect, claimed)
         version = row.version if row is not None else ABSENT
         transaction = Transaction({key: version}, {key: value})
         try:
-            async with asyncio.timeout(CLAIM_S):
+            async with asyncio.timeout(CLAIM_TIMEOUT_S):
                 done = await self._transact(transaction, key)
         except TimeoutError:
             done = False
@@ -183,7 +183,7 @@
                 continue
             try:
                 held = from_bytes(HeldRow, row.value)
-                ends, hold = self._restored(held)
+                ends, hold = self._decode(held)
             except (UnreadableError, ValueError, TypeError) as error:
                 log.error("held request skipped", content=content, reason=str(error))
                 continue
@@ -208,7 +208,7 @@
 
     # Between the store's clock and that of this machine.
 
-    def _value(self, suspect: Suspect, hold: Hold | None = None) -> bytes:
+    def _encode(self, suspect: Suspect, hold: Hold | None = None) -> bytes:
         ahead_s = self._clock.now() - elapsed_s()
         hold = hold or suspect.hold
         ends = [
@@ -227,7 +227,7 @@
             )
         )
 
-    def _restored(self, row: HeldRow) -> tuple[list[End], Hold | None]:
+    def _decode(self, row: HeldRow) -> tuple[list[End], Hold | None]:
         """Return what a row holds, by the clock of this machine.
 
         Raises:
@@ -259,5 +259,5 @@
     return RowKey(TABLE, "", content)
 
 
-def _is_worth_a_row(suspect: Suspect) -> bool:
+def _is_stored(suspect: Suspect) -> bool:
     return suspect.hold is not None or len(suspect.ends) >= MIN_STORED_CRASHES
--- a/src/caperridge/gateway/mesh/contacts.py
+++ b/src/caperridge/gateway/mesh/contacts.py
@@ -32,6 +32,6 @@
         return avoided, lost, member.leaving, member.affinity, member.id
 
     return {
-        zone: heapq.nsmallest(CONTACTS_PER_ZONE, of_zone, key=rank)
-        for zone, of_zone in members_by_zone.items()
+        zone: heapq.nsmallest(CONTACTS_PER_ZONE, zone_members, key=rank)
+        for zone, zone_members in members_by_zone.items()
     }
--- a/src/caperridge/gateway/mesh/dialers.py
+++ b/src/caperridge/gateway/mesh/dialers.py
@@ -13,14 +13,14 @@
 
 log = logger(__name__)
 
-REDIAL_S = 0.3
+REDIAL_DELAY_S = 0.3
 # A stream may be silent though what is sent into it is acknowledged on its way, so one
 # that is older is opened anew while its peer is silent, or says that it hears nothing.
 # Twice the silence after which a near peer is lost: one that stands still gets a
 # connection from each peer so often.
-RENEW_S = 3.0
+RENEW_AFTER_S = 3.0
 # Members are learnt in bursts: the whole list, or all peers after a loss of all.
-RECONCILE_AFTER_S = 0.05
+RECONCILE_DELAY_S = 0.05
 # A contact that cannot be reached is replaced for so long.
 AVOID_CONTACT_S = 2.0
 # How long a stream leads to an instance that knows nobody yet.
@@ -58,7 +58,7 @@
         self._hello = hello
         self._connected = connected
         self._tasks_by_address: dict[str, asyncio.Task[None]] = {}
-        self._guests_until_by_address: dict[str, float] = {}
+        self._temporary_until_by_address: dict[str, float] = {}
         self._reconcile_timer: asyncio.TimerHandle | None = None
         self._reconciled_changes = -1
         # When a guest or an avoided contact is due for another look.
@@ -89,18 +89,18 @@
             self.reconcile()
         elif self._reconcile_timer is None:
             loop = asyncio.get_running_loop()
-            self._reconcile_timer = loop.call_later(RECONCILE_AFTER_S, self.reconcile)
+            self._reconcile_timer = loop.call_later(RECONCILE_DELAY_S, self.reconcile)
 
-    def greet(self, address: str) -> None:
+    def dial_temporarily(self, address: str) -> None:
         """Lead a stream for a while to an instance that knows few members."""
         now = asyncio.get_running_loop().time()
-        self._guests_until_by_address[address] = now + TEMPORARY_STREAM_S
+        self._temporary_until_by_address[address] = now + TEMPORARY_STREAM_S
         self._due_at = min(self._due_at, now + TEMPORARY_STREAM_S)
         self._dial(address)
 
-    def is_guest(self, address: str) -> bool:
+    def is_temporary(self, address: str) -> bool:
         """Whether a stream leads to an address only until its instance knows others."""
-        return address in self._guests_until_by_address
+        return address in self._temporary_until_by_address
 
     def reconcile_if_due(self) -> None:
         """Reconcile if members or what is known of contacts changed since the last."""
@@ -109,16 +109,16 @@
             self.reconcile()
 
     def reconcile(self) -> None:
-        """Open the streams that are wanted, and close all others."""
+        """Open the streams that are desired, and close all others."""
         if self._reconcile_timer is not None:
             self._reconcile_timer.cancel()
             self._reconcile_timer = None
         self._reconciled_changes = self._roster.changes
-        wanted = self._wanted()
+        desired = self._desired_addresses()
         for address in list(self._tasks_by_address):
-            if address not in wanted:
-                self._hang_up(address)
-        for address in wanted:
+            if address not in desired:
+                self._close(address)
+        for address in desired:
             self._dial(address)
 
     def renew(self, member: Member) -> None:
@@ -126,11 +126,11 @@
         stream = self.stream_to(member)
         if stream is None:
             return
-        if asyncio.get_running_loop().time() - stream.opened_at > RENEW_S:
+        if asyncio.get_running_loop().time() - stream.opened_at > RENEW_AFTER_S:
             log.info("stream opened anew", peer=member.id)
-            stream.end()
+            stream.close()
 
-    def _wanted(self) -> dict[str, None]:
+    def _desired_addresses(self) -> dict[str, None]:
         """Return the addresses that streams shall lead to."""
         now = asyncio.get_running_loop().time()
         roster = self._roster
@@ -138,49 +138,49 @@
         self.contacts_by_zone = choose_contacts(far, now)
         avoided = (one.avoid_until for one in far if one.avoid_until > now)
         self._due_at = min(avoided, default=math.inf)
-        wanted = dict.fromkeys(member.address for member in roster.near())
+        desired = dict.fromkeys(member.address for member in roster.near())
         for contacts in self.contacts_by_zone.values():
-            wanted.update(dict.fromkeys(member.address for member in contacts))
+            desired.update(dict.fromkeys(member.address for member in contacts))
         if not roster.large or not roster.alive():
-            wanted.update(dict.fromkeys(self._seeds))
-        for address, until in list(self._guests_until_by_address.items()):
+            desired.update(dict.fromkeys(self._seeds))
+        for address, until in list(self._temporary_until_by_address.items()):
             if until <= now:
-                del self._guests_until_by_address[address]
+                del self._temporary_until_by_address[address]
                 continue
             self._due_at = min(self._due_at, until)
-            wanted[address] = None
-        return wanted
+            desired[address] = None
+        return desired
 
     def _dial(self, address: str) -> None:
         if address == self._address or address in self._tasks_by_address:
             return
-        stream = OutStream(address, lambda: self._greeting(stream))
+        stream = OutStream(address, lambda: self._first_message(stream))
         self.streams_by_address[address] = stream
-        task = asyncio.get_running_loop().create_task(self._keep(stream))
+        task = asyncio.get_running_loop().create_task(self._maintain(stream))
         self._tasks_by_address[address] = task
 
-    def _greeting(self, stream: OutStream) -> Hello:
+    def _first_message(self, stream: OutStream) -> Hello:
         asyncio.get_running_loop().call_soon(self._connected, stream)
         return self._hello(stream.address)
 
-    def _hang_up(self, address: str) -> None:
+    def _close(self, address: str) -> None:
         self.streams_by_address.pop(address, None)
         task = self._tasks_by_address.pop(address, None)
         if task is not None:
             task.cancel()
 
-    async def _keep(self, stream: OutStream) -> None:
+    async def _maintain(self, stream: OutStream) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            began = loop.time()
+            started_at = loop.time()
             try:
                 await stream.run_once()
             except (OSError, TimeoutError):
-                self._not_reached(stream.address)
-            if loop.time() - began < RENEW_S:
-                await asyncio.sleep(REDIAL_S)
+                self._dial_failed(stream.address)
+            if loop.time() - started_at < RENEW_AFTER_S:
+                await asyncio.sleep(REDIAL_DELAY_S)
 
-    def _not_reached(self, address: str) -> None:
+    def _dial_failed(self, address: str) -> None:
         """Have another contact chosen if this was the address of one."""
         now = asyncio.get_running_loop().time()
         for contacts in self.contacts_by_zone.values():
--- a/src/caperridge/gateway/mesh/mesh.py
+++ b/src/caperridge/gateway/mesh/mesh.py
@@ -22,7 +22,7 @@
 # wrong.
 SILENCE_TIMEOUT_S = 1.5
 # Who was told something so lately needs no sign of life.
-RECENT_S = 0.1
+RECENTLY_SENT_S = 0.1
 # Far peers are heard through contacts: each passes on with its own beat what it heard,
 # and two of them are told in turn. Two in a row are lost within 2.4 s.
 FAR_SILENCE_TIMEOUT_S = 3.0
@@ -31,7 +31,7 @@
 GOSSIP_FANOUT = 5
 # An instance that nobody lists and that was not heard from for so long is forgotten.
 # Where there are many, the list is read twice a minute.
-FORGET_S = 90.0
+EXPIRY_S = 90.0
 # An instance that knows fewer has just started, and is sent the whole roster.
 MIN_KNOWN_MEMBERS = 8
 
@@ -68,14 +68,14 @@
         self.members_by_id = self.roster.members_by_id
         self.traffic = PeerTraffic()
         self._dialers = Dialers(
-            self.roster, address, seeds, self._hello_to, self._connected
+            self.roster, address, seeds, self._hello_to, self._send_connect_messages
         )
         self._relay = ZoneRelay(self, self._dialers)
         self._handlers_by_kind: dict[type[Record], Handler] = {}
-        self._appeared: list[Callable[[Member], None]] = []
-        self._lost: list[Callable[[Member], None]] = []
-        self._said_first: list[Callable[[], Record]] = []
-        self._after_hearing: list[Callable[[], None]] = []
+        self._appear_callbacks: list[Callable[[Member], None]] = []
+        self._lost_callbacks: list[Callable[[Member], None]] = []
+        self._connect_messages: list[Callable[[], Record]] = []
+        self._received_callbacks: list[Callable[[], None]] = []
         self._server: asyncio.Server | None = None
         self._reader: PacedReader | None = None
         self._streams: set[InStream] = set()
@@ -87,19 +87,19 @@
 
     def on_appear(self, call: Callable[[Member], None]) -> None:
         """Have ``call`` called when a member begins to be heard from."""
-        self._appeared.append(call)
+        self._appear_callbacks.append(call)
 
     def on_lost(self, call: Callable[[Member], None]) -> None:
         """Have ``call`` called when a member is not heard from any more."""
-        self._lost.append(call)
+        self._lost_callbacks.append(call)
 
     def send_on_connect(self, call: Callable[[], Record]) -> None:
         """Have what ``call`` returns sent on each connection that is made to a peer."""
-        self._said_first.append(call)
+        self._connect_messages.append(call)
 
     def on_messages_received(self, call: Callable[[], None]) -> None:
         """Have ``call`` called after the messages of one turn were heard."""
-        self._after_hearing.append(call)
+        self._received_callbacks.append(call)
 
     def receive_now(self) -> None:
         """Take the messages that have come, before something is decided by them."""
@@ -110,9 +110,11 @@
         """Listen, and connect to the seeds."""
         host, _, port = self.address.rpartition(":")
         loop = asyncio.get_running_loop()
-        self._reader = reader = PacedReader(self._heard_all)
+        self._reader = reader = PacedReader(self._batch_received)
         self._server = await loop.create_server(
-            lambda: InStream(reader, self._hears, self._stream_ended), host, int(port)
+            lambda: InStream(reader, self._receive, self._stream_closed),
+            host,
+            int(port),
         )
         self._dialers.start()
 
@@ -175,18 +177,18 @@
                     continue
                 self.mark_lost(member, "it is silent")
             self._dialers.renew(member)
-            if now - max(member.lost_at, member.listed_at) > FORGET_S:
+            if now - max(member.lost_at, member.listed_at) > EXPIRY_S:
                 self.roster.remove(member)
         self._dialers.reconcile_if_due()
 
-    def hello(self, of_all: bool = True) -> Hello:
+    def hello(self, all_members: bool = True) -> Hello:
         """Return what this instance says first on a connection.
 
         Args:
-            of_all: name all members rather than those that streams lead to.
+            all_members: name all members rather than those that streams lead to.
         """
         known = list(self.members_by_id.values())
-        if not of_all:
+        if not all_members:
             streams = self._dialers.streams_by_address
             known = [one for one in known if one.address in streams]
         return Hello(
@@ -199,7 +201,9 @@
         )
 
     def _hello_to(self, address: str) -> Hello:
-        return self.hello(of_all=not self.large or self._dialers.is_guest(address))
+        return self.hello(
+            all_members=not self.large or self._dialers.is_temporary(address)
+        )
 
     # Sending.
 
@@ -228,11 +232,11 @@
 
     def send_to_idle(self, message: Record) -> None:
         """Queue ``message`` for the near peers that were told nothing lately."""
-        before = asyncio.get_running_loop().time() - RECENT_S
+        before = asyncio.get_running_loop().time() - RECENTLY_SENT_S
         quiet: list[Member] = []
         for member in self.roster.near():
             stream = self._dialers.stream_to(member)
-            if stream is not None and stream.sent_at <= before:
+            if stream is not None and stream.last_sent_at <= before:
                 quiet.append(member)
         self._send_to(quiet, message)
 
@@ -269,14 +273,14 @@
         distance = NEAR if member.zone == self.zone else FAR
         self.traffic.add(type(message).__name__, distance, size)
 
-    def _connected(self, stream: OutStream) -> None:
+    def _send_connect_messages(self, stream: OutStream) -> None:
         """Say what comes after the hello."""
-        for call in self._said_first:
+        for call in self._connect_messages:
             stream.send(encode(call()))
 
     # Hearing.
 
-    def _hears(self, stream: InStream, message: Record | None) -> None:
+    def _receive(self, stream: InStream, message: Record | None) -> None:
         """Take a message; the first on a stream says who speaks."""
         if not stream.instance:
             if not isinstance(message, Hello):
@@ -285,24 +289,24 @@
             stream.instance = message.instance
             stream.incarnation = message.incarnation
             self._streams.add(stream)
-            self._greeted(message)
-            self._close_earlier(stream)
+            self._handle_hello(message)
+            self._close_older_streams(stream)
             return
         member = self.members_by_id.get(stream.instance)
         if member is not None and member.incarnation == stream.incarnation:
-            self._heard(member, message)
+            self._handle(member, message)
 
-    def _heard_all(self) -> None:
-        for call in self._after_hearing:
+    def _batch_received(self) -> None:
+        for call in self._received_callbacks:
             call()
 
-    def _close_earlier(self, stream: InStream) -> None:
+    def _close_older_streams(self, stream: InStream) -> None:
         """Close what the speaker of ``stream`` has given up; it may be silent here."""
         for other in list(self._streams):
             if other is not stream and other.instance == stream.instance:
                 other.close()
 
-    def _stream_ended(self, stream: InStream, reason: str) -> None:
+    def _stream_closed(self, stream: InStream, reason: str) -> None:
         self._streams.discard(stream)
         member = self.members_by_id.get(stream.instance)
         if member is None or member.incarnation != stream.incarnation:
@@ -314,7 +318,7 @@
             self.mark_lost(member, reason)
             self._relay.report_lost(member)
 
-    def _greeted(self, hello: Hello) -> None:
+    def _handle_hello(self, hello: Hello) -> None:
         self.learn(hello.instance, hello.address, hello.availability_zone)
         member = self.members_by_id[hello.instance]
         self.set_incarnation(
@@ -326,10 +330,10 @@
             self.learn(id, address, zone)
         if self.instance in hello.unheard:
             self._dialers.renew(member)
-        self._heard(member, None)
+        self._handle(member, None)
         knows_few = len(hello.members) < MIN_KNOWN_MEMBERS
         if knows_few and not self.is_near(member):
-            self._dialers.greet(member.address)
+            self._dialers.dial_temporarily(member.address)
 
     def set_incarnation(
         self, member: Member, incarnation: str, address: str, zone: str
@@ -348,12 +352,12 @@
             self.roster.changes += 1
             self._dialers.members_changed()
 
-    def _heard(self, member: Member, message: Record | None) -> None:
+    def _handle(self, member: Member, message: Record | None) -> None:
         self.mark_alive(member)
         if message is None:
             return
         self.dispatch(member, message)
-        self._relay.heard(member, message)
+        self._relay.message_received(member, message)
 
     def mark_alive(self, member: Member) -> None:
         """Note that a member lives."""
@@ -363,7 +367,7 @@
         member.lost_at = None
         self.roster.changes += 1
         log.info("peer heard", peer=member.id, incarnation=member.incarnation)
-        for call in self._appeared:
+        for call in self._appear_callbacks:
             call(member)
 
     def dispatch(self, member: Member, message: Record) -> None:
@@ -379,5 +383,5 @@
         log.warning("peer lost", peer=member.id, reason=reason)
         if self.large:
             self._dialers.members_changed()
-        for call in self._lost:
+        for call in self._lost_callbacks:
             call(member)
--- a/src/caperridge/gateway/mesh/paced_reading.py
+++ b/src/caperridge/gateway/mesh/paced_reading.py
@@ -20,7 +20,7 @@
 # message so large that waiting between its parts would add up.
 LARGE_READ_BYTES = 32 * 2**10
 
-Received = Callable[[bytes], None]
+DataCallback = Callable[[bytes], None]
 
 
 class PacedReader:
@@ -33,16 +33,16 @@
         after: called after connections were read.
     """
 
-    def __init__(self, after: Callable[[], None]) -> None:
-        self.read_at = float("-inf")
-        self._after = after
+    def __init__(self, after_read: Callable[[], None]) -> None:
+        self.last_read_at = float("-inf")
+        self._after_read = after_read
         self._loop = asyncio.get_running_loop()
         self._poll = select.epoll()
-        self._received_by_descriptor: dict[int, Received] = {}
+        self._callbacks_by_descriptor: dict[int, DataCallback] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._reading = False
         self._large = False  # whether something large was read last
-        self._loop.add_reader(self._poll.fileno(), self._readable)
+        self._loop.add_reader(self._poll.fileno(), self._on_readable)
 
     def close(self) -> None:
         """Stop reading."""
@@ -52,19 +52,19 @@
         self._loop.remove_reader(self._poll.fileno())
         self._poll.close()
 
-    def add(self, descriptor: int, received: Received) -> None:
+    def add(self, descriptor: int, callback: DataCallback) -> None:
         """Have ``received`` called with what comes; with nothing at the end.
 
         Args:
             descriptor: of a connection that does not block.
-            received: called with each read.
+            callback: called with each read.
         """
-        self._received_by_descriptor[descriptor] = received
+        self._callbacks_by_descriptor[descriptor] = callback
         self._poll.register(descriptor, select.EPOLLIN)
 
     def remove(self, descriptor: int) -> None:
         """Read a connection no more."""
-        known = self._received_by_descriptor.pop(descriptor, None) is not None
+        known = self._callbacks_by_descriptor.pop(descriptor, None) is not None
         if known and not self._poll.closed:
             self._poll.unregister(descriptor)
 
@@ -73,32 +73,34 @@
         if self._timer is not None and not self._reading:
             self._read()
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         """Read what came after a rest; leave what comes next if the rest was short."""
-        rested_s = self._loop.time() - self.read_at
+        idle_s = self._loop.time() - self.last_read_at
         self._read()
-        if rested_s < READ_INTERVAL_S and not self._large:
+        if idle_s < READ_INTERVAL_S and not self._large:
             self._loop.remove_reader(self._poll.fileno())
-            self._timer = self._loop.call_later(READ_INTERVAL_S, self._read_again)
+            self._timer = self._loop.call_later(READ_INTERVAL_S, self._read_on_timer)
 
-    def _read_again(self) -> None:
+    def _read_on_timer(self) -> None:
         """Read what came meanwhile; have the loop watch again if that was nothing.
 
         It also watches while a large message comes.
         """
-        came = True
+        received = True
         try:
-            came = self._read()
+            received = self._read()
         finally:  # whatever fails here, peers are heard again
-            if came and not self._large:
-                self._timer = self._loop.call_later(READ_INTERVAL_S, self._read_again)
+            if received and not self._large:
+                self._timer = self._loop.call_later(
+                    READ_INTERVAL_S, self._read_on_timer
+                )
             else:
                 self._timer = None
-                self._loop.add_reader(self._poll.fileno(), self._readable)
+                self._loop.add_reader(self._poll.fileno(), self._on_readable)
 
     def _read(self) -> bool:
         """Read each connection on which something came; return whether one did."""
-        self.read_at = self._loop.time()
+        self.last_read_at = self._loop.time()
         self._large = False
         ready = self._poll.poll(0)
         if not ready:
@@ -109,12 +111,12 @@
                 self._read_one(descriptor)
         finally:
             self._reading = False
-        self._after()
+        self._after_read()
         return True
 
     def _read_one(self, descriptor: int) -> None:
-        received = self._received_by_descriptor.get(descriptor)
-        if received is None:
+        callback = self._callbacks_by_descriptor.get(descriptor)
+        if callback is None:
             return
         try:
             data = os.read(descriptor, READ_BYTES)
@@ -123,4 +125,4 @@
         except OSError:
             data = b""
         self._large = self._large or len(data) >= LARGE_READ_BYTES
-        received(data)
+        callback(data)
--- a/src/caperridge/gateway/mesh/relay.py
+++ b/src/caperridge/gateway/mesh/relay.py
@@ -28,7 +28,7 @@
 log = logger(__name__)
 
 # A process that stands still goes on accepting bytes, so only its silence shows.
-CONTACT_FRESH_S = 1.5
+CONTACT_FRESHNESS_S = 1.5
 # One of the peers that report a loss elsewhere may be lost itself.
 LOSS_REPORTERS = 2
 # Contacts may still relay heartbeats of a life whose end was reported.
@@ -86,7 +86,7 @@
         self._mesh = mesh
         self._roster = mesh.roster
         self._dialers = dialers
-        self._turn = 0
+        self._rotation = 0
         self._heartbeats_by_instance: dict[str, list] = {}
         self._pending: list[list] = []
         self._last_heartbeat_by_instance: dict[str, list] = {}
@@ -94,24 +94,24 @@
     def register(self) -> None:
         """Have the mesh hand over what is to be passed on."""
         self._mesh.register(Relay, self._relay_requested)
-        self._mesh.register(Relayed, self._relayed)
-        self._mesh.register(RelayedHeartbeats, self._relayed_heartbeats)
+        self._mesh.register(Relayed, self._receive_relayed)
+        self._mesh.register(RelayedHeartbeats, self._receive_heartbeats)
         self._mesh.register(MemberLost, self._member_lost)
         self._mesh.on_messages_received(self._flush)
-        self._mesh.on_lost(self._forget_heartbeat)
+        self._mesh.on_lost(self._discard_last_heartbeat)
 
     # What this instance says elsewhere.
 
     def contacts(self, all_contacts: bool) -> list[Member]:
         """Return one connected contact of each zone, another in turn, or all."""
-        self._turn += 1
+        self._rotation += 1
         chosen: list[Member] = []
         for zone in self._dialers.contacts_by_zone:
             connected = self._connected_contacts(zone)
             if all_contacts or not connected:
                 chosen += connected
                 continue
-            chosen.append(connected[self._turn % len(connected)])
+            chosen.append(connected[self._rotation % len(connected)])
         return chosen
 
     def send(self, member: Member, message: Record) -> bool:
@@ -150,7 +150,7 @@
     def _best_contact(self, zone: str) -> Member | None:
         """Return the contact of a zone that is asked; None if none is connected."""
         connected = self._connected_contacts(zone)
-        since = asyncio.get_running_loop().time() - CONTACT_FRESH_S
+        since = asyncio.get_running_loop().time() - CONTACT_FRESHNESS_S
         for contact in connected:
             if contact.last_received_at >= since:
                 return contact
@@ -165,11 +165,11 @@
 
     # What this instance passes on in its zone.
 
-    def heard(self, member: Member, message: Record) -> None:
+    def message_received(self, member: Member, message: Record) -> None:
         """Gather what a far instance said of itself, to be passed on."""
         if self._roster.is_near(member):
             return
-        self._forget_heartbeat(member)
+        self._discard_last_heartbeat(member)
         if not isinstance(message, Heartbeat):
             return
         before = self._heartbeats_by_instance.get(member.id)
@@ -213,7 +213,7 @@
 
     # What others pass on.
 
-    def _relayed(self, contact: str, relayed: Relayed) -> None:
+    def _receive_relayed(self, contact: str, relayed: Relayed) -> None:
         for entry in relayed.messages:
             self._deliver(entry)
 
@@ -229,10 +229,10 @@
             log.error("relayed message skipped", peer=instance, reason=str(error))
             return
         if message is not None:
-            self._forget_heartbeat(member)
+            self._discard_last_heartbeat(member)
             self._mesh.dispatch(member, message)
 
-    def _relayed_heartbeats(self, contact: str, relayed: RelayedHeartbeats) -> None:
+    def _receive_heartbeats(self, contact: str, relayed: RelayedHeartbeats) -> None:
         now = asyncio.get_running_loop().time()
         for heartbeat in relayed.heartbeats:
             instance = heartbeat[0]
@@ -242,7 +242,7 @@
                 member.last_received_at = member.listed_at = now
                 continue
             incarnation, address, zone, leaving, reached, counts, *_ = heartbeat[1:]
-            member = self._note_alive(instance, incarnation, address, zone)
+            member = self._record_alive(instance, incarnation, address, zone)
             if member is None:
                 continue
             self._last_heartbeat_by_instance[instance] = heartbeat
@@ -256,11 +256,11 @@
             and self._last_heartbeat_by_instance.get(member.id) == heartbeat
         )
 
-    def _forget_heartbeat(self, member: Member) -> None:
+    def _discard_last_heartbeat(self, member: Member) -> None:
         """Have the next sign of life of a member handled whole."""
         self._last_heartbeat_by_instance.pop(member.id, None)
 
-    def _note_alive(
+    def _record_alive(
         self, instance: str, incarnation: str, address: str, zone: str
     ) -> Member | None:
         """Note a sign of life; return whose it is, or None if it says nothing."""
@@ -271,8 +271,8 @@
         if self._roster.is_near(member) or incarnation == member.previous_incarnation:
             return None
         now = asyncio.get_running_loop().time()
-        belated = now - member.reported_lost_at < STALE_HEARTBEAT_S
-        if belated and incarnation == member.incarnation:
+        stale = now - member.reported_lost_at < STALE_HEARTBEAT_S
+        if stale and incarnation == member.incarnation:
             return None
         self._mesh.set_incarnation(member, incarnation, address, zone)
         self._mesh.mark_alive(member)
--- a/src/caperridge/gateway/mesh/roster.py
+++ b/src/caperridge/gateway/mesh/roster.py
@@ -57,15 +57,15 @@
 
     def alive(self) -> list[Member]:
         """Return the members that are heard from."""
-        self._look_who_is_alive()
+        self._refresh_alive()
         return self._alive
 
     def incarnation_alive(self, incarnation: str) -> bool:
         """Whether this life of a peer is heard from."""
-        self._look_who_is_alive()
+        self._refresh_alive()
         return incarnation in self._alive_incarnations
 
-    def _look_who_is_alive(self) -> None:
+    def _refresh_alive(self) -> None:
         if self._alive_key == self.changes:
             return
         self._alive_key = self.changes
@@ -99,7 +99,7 @@
             member.leaving = leaving
             self.changes += 1
 
-    def reaches_store(self, id: str, reached: bool) -> bool:
+    def set_store_reached(self, id: str, reached: bool) -> bool:
         """Note whether the store answers a member; return if that was news."""
         member = self.members_by_id.get(id)
         if member is None or member.store_reached == reached:
--- a/src/caperridge/gateway/mesh/streams.py
+++ b/src/caperridge/gateway/mesh/streams.py
@@ -19,7 +19,7 @@
 
 log = logger(__name__)
 
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 # What a peer's system did not acknowledge for so long went into a silent connection.
 # Near peers hear something every 0.7 s and are lost after 1.5 s; a stream that fell
 # silent is replaced before. Systems acknowledge at once, also for slow processes.
@@ -83,10 +83,10 @@
         self.connected = False
         self.opened_at = 0.0  # of the connection that there is, on the loop's clock
         self.dropped = 0
-        self.sent_at = float("-inf")  # by the loop's clock
+        self.last_sent_at = float("-inf")  # by the loop's clock
         self._hello = hello
         self._transport: asyncio.Transport | None = None
-        self._ended = asyncio.Event()
+        self._closed = asyncio.Event()
         self._time = asyncio.get_running_loop().time
 
     def send(self, data: bytes) -> bool:
@@ -98,7 +98,7 @@
             self.dropped += 1
             return False
         transport.write(data)
-        self.sent_at = self._time()
+        self.last_sent_at = self._time()
         return True
 
     async def run_once(self) -> None:
@@ -110,11 +110,11 @@
         """
         host, _, port = self.address.rpartition(":")
         loop = asyncio.get_running_loop()
-        self._ended.clear()
-        async with asyncio.timeout(CONNECT_S):
+        self._closed.clear()
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             transport, _ = await loop.create_connection(lambda: self, host, int(port))
         try:
-            await self._ended.wait()
+            await self._closed.wait()
         finally:
             self.connected = False
             transport.abort()
@@ -132,9 +132,9 @@
         """See :class:`asyncio.Protocol`."""
         self.connected = False
         self._transport = None
-        self._ended.set()
+        self._closed.set()
 
-    def end(self) -> None:
+    def close(self) -> None:
         """End the connection, if there is one; another is opened soon."""
         if self._transport is not None:
             self._transport.abort()
@@ -145,23 +145,23 @@
 
     Args:
         reader: reads the connection.
-        heard: called with the stream and each message.
-        ended: called with the stream when the connection has ended, and why.
+        on_message: called with the stream and each message.
+        on_closed: called with the stream when the connection has ended, and why.
     """
 
     def __init__(
         self,
         reader: PacedReader,
-        heard: Callable[["InStream", Record | None], None],
-        ended: Callable[["InStream", str], None],
+        on_message: Callable[["InStream", Record | None], None],
+        on_closed: Callable[["InStream", str], None],
     ) -> None:
         # Set by who listens: which life of which instance speaks here.
         self.instance = ""
         self.incarnation = ""
         self._reader = reader
         self._descriptor = -1
-        self._heard = heard
-        self._ended = ended
+        self._on_message = on_message
+        self._on_closed = on_closed
         self._splitter = FrameSplitter()
         self._transport: asyncio.Transport | None = None
         self._reason = "its stream ended"
@@ -181,7 +181,7 @@
             return
         try:
             for body in self._splitter.feed(data):
-                self._heard(self, decode(body))
+                self._on_message(self, decode(body))
         except (FrameError, MessageError) as error:
             self._reason = str(error)
             self.close()
@@ -194,7 +194,7 @@
         """See :class:`asyncio.Protocol`."""
         self._transport = None
         self._reader.remove(self._descriptor)
-        self._ended(self, self._reason)
+        self._on_closed(self, self._reason)
 
     def close(self) -> None:
         """End the connection; what has come on it and was not read is dropped."""
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -30,12 +30,12 @@
 # that were told nothing lately hear that this instance lives, and far ones nothing.
 FULL_HEARTBEAT_PERIOD_BEATS = 3
 # The store answers a watch that has news within 25 ms; slow days take ten times that.
-SLOW_WATCH_S = 0.3
+SLOW_ANSWER_S = 0.3
 # A peer answers within some milliseconds, or it is slow or gone.
 REQUEST_RETRY_DELAY_S = 0.1
 
 
-class Behind:
+class StaleTable:
     """A table whose own copy lacks changes that a peer has.
 
     Attributes:
@@ -45,12 +45,12 @@
         timer: until that one, or another, is asked for its copy.
     """
 
-    __slots__ = ("asked_version", "peer", "timer", "version")
+    __slots__ = ("peer", "requested_version", "timer", "version")
 
     def __init__(self, version: int, peer: str, timer: asyncio.TimerHandle) -> None:
         self.version = version
         self.peer = peer
-        self.asked_version = 0
+        self.requested_version = 0
         self.timer = timer
 
 
@@ -88,22 +88,22 @@
         ]
         self._beats = 0
         self._flushing = False
-        self._heard_counts = False
-        self._told_state: tuple[Any, ...] = ()
-        self._told_versions: dict[str, int] = {}
-        self._behind_by_table: dict[str, Behind] = {}
-        mesh.register(Counts, self._counts)
-        mesh.register(Heartbeat, self._heartbeat)
-        mesh.register(TableNews, self._table_news)
-        mesh.register(TableAsk, self._table_ask)
-        mesh.register(TableWhole, self._table_whole)
-        mesh.register(TableChanges, self._table_changes)
+        self._counts_received = False
+        self._sent_state: tuple[Any, ...] = ()
+        self._announced_versions: dict[str, int] = {}
+        self._stale_by_table: dict[str, StaleTable] = {}
+        mesh.register(Counts, self._receive_counts)
+        mesh.register(Heartbeat, self._receive_heartbeat)
+        mesh.register(TableNews, self._receive_table_news)
+        mesh.register(TableAsk, self._receive_table_ask)
+        mesh.register(TableWhole, self._receive_table_whole)
+        mesh.register(TableChanges, self._receive_table_changes)
         for watcher in watchers:
             watcher.publish = functools.partial(self._publish, watcher)
         mesh.on_appear(self._appeared)
         mesh.on_lost(self._peer_lost)
-        mesh.send_on_connect(self._first_word)
-        mesh.on_messages_received(self._heard_all)
+        mesh.send_on_connect(self._first_heartbeat)
+        mesh.on_messages_received(self._batch_received)
 
     def send_heartbeat(self) -> None:
         """Tell that this instance lives, and now and then all it has to tell.
@@ -114,17 +114,17 @@
         self._beats += 1
         self._mesh.relay_heartbeats()
         unchanged = (
-            state == self._told_state and self._beats % FULL_HEARTBEAT_PERIOD_BEATS
+            state == self._sent_state and self._beats % FULL_HEARTBEAT_PERIOD_BEATS
         )
         if unchanged and not self._mesh.large:
             self._mesh.send_to_idle(Alive())
             return
-        whole = self._whole(with_lengths=not self._mesh.large)
+        whole = self._full_heartbeat(with_lengths=not self._mesh.large)
         self._mesh.send_contacts(whole, all_contacts=self.leaving)
         if unchanged:
             self._mesh.send_to_idle(Alive())
             return
-        self._told_state = state
+        self._sent_state = state
         self._mesh.send_near(whole)
 
     def _state(self) -> tuple[Any, ...]:
@@ -135,11 +135,11 @@
             [self.copy_of(table).version for table in self._urgent_tables],
         )
 
-    def _first_word(self) -> Heartbeat:
+    def _first_heartbeat(self) -> Heartbeat:
         """Return what a peer that knows nothing is told."""
-        return self._whole(with_lengths=True)
+        return self._full_heartbeat(with_lengths=True)
 
-    def _whole(self, with_lengths: bool) -> Heartbeat:
+    def _full_heartbeat(self, with_lengths: bool) -> Heartbeat:
         """Return all there is to tell.
 
         Lengths of runs are some 45 bytes for each service. Where there are many peers
@@ -166,7 +166,7 @@
         One elsewhere hears of this instance with the next beat of a contact.
         """
         if self._mesh.is_near(member):
-            self._mesh.send(member.id, self._first_word())
+            self._mesh.send(member.id, self._first_heartbeat())
 
     def counts_changed(self) -> None:
         """Tell the own counts that changed at the end of this turn of the loop.
@@ -181,8 +181,8 @@
     def table_changed(self, table: str) -> None:
         """Tell peers that the copy of ``table`` has news."""
         version = self._watchers_by_table[table].copy.version
-        if version > self._told_versions.get(table, 0):
-            self._told_versions[table] = version
+        if version > self._announced_versions.get(table, 0):
+            self._announced_versions[table] = version
             self._mesh.gossip(TableNews(table, version))
 
     def _flush(self) -> None:
@@ -200,20 +200,20 @@
             target = self._fleet.targets.by_id.get(id)
             if target is not None and target.availability_zone != self._mesh.zone:
                 far.setdefault(target.availability_zone, []).append(told)
-            self._tell_far_holders(id, told)
+            self._send_to_far_holders(id, told)
         if near:
             self._mesh.send_near(Counts(near))
         for zone, counts in far.items():
             self._mesh.send_zone(zone, Counts(counts))
 
-    def _tell_far_holders(self, target: str, told: list[Any]) -> None:
+    def _send_to_far_holders(self, target: str, told: list[Any]) -> None:
         """Tell instances elsewhere that have items at ``target``; they may give way."""
         for instance in self._fleet.occupancy.holders_of_items(target):
             member = self._mesh.members_by_id.get(instance)
             if member is not None and not self._mesh.is_near(member):
                 self._mesh.send(instance, Counts([told]))
 
-    def _counts(self, peer: str, news: Counts) -> None:
+    def _receive_counts(self, peer: str, news: Counts) -> None:
         occupancy = self._fleet.occupancy
         for target, *fields in news.counts:
             count = Count(*fields)
@@ -221,33 +221,33 @@
             if count.items > before.items:
                 self.on_item_started(peer, target)
             self.on_count_received(target)
-        self._heard_counts = True
+        self._counts_received = True
 
-    def _heard_all(self) -> None:
+    def _batch_received(self) -> None:
         """Tell of the counts that were heard in one turn, once."""
-        if self._heard_counts:
-            self._heard_counts = False
+        if self._counts_received:
+            self._counts_received = False
             self._fleet.changed()
 
-    def _heartbeat(self, peer: str, beat: Heartbeat) -> None:
-        news = self._mesh.roster.reaches_store(peer, beat.store_reached)
+    def _receive_heartbeat(self, peer: str, beat: Heartbeat) -> None:
+        news = self._mesh.roster.set_store_reached(peer, beat.store_reached)
         if news and not beat.store_reached and self._reads_for_this_zone(peer):
             self._reach.recheck()
         self._mesh.set_leaving(peer, beat.leaving)
         counts = {target: Count(*count) for target, *count in beat.counts}
         if self._fleet.occupancy.told_all(peer, counts):
-            self._heard_counts = True
+            self._counts_received = True
         for service, *lengths in beat.lengths:
             self._fleet.lengths(service).told(lengths)
         for table, version in beat.versions.items():
-            self._peer_has(peer, table, version)
+            self._note_peer_version(peer, table, version)
 
     def _reads_for_this_zone(self, peer: str) -> bool:
         """Whether a peer may have read tables of the store for this instance."""
         return self._mesh.members_by_id[peer].zone == self._mesh.zone
 
-    def _table_news(self, peer: str, news: TableNews) -> None:
-        self._peer_has(peer, news.table, news.version)
+    def _receive_table_news(self, peer: str, news: TableNews) -> None:
+        self._note_peer_version(peer, news.table, news.version)
 
     # Changes of tables that one instance of a zone reads for the others.
 
@@ -264,10 +264,10 @@
         ]
         now = asyncio.get_running_loop().time()
         after_outage = self._fleet.targets.may_have_lapsed(now)
-        self._told_versions[table] = version
+        self._announced_versions[table] = version
         self._mesh.send_near(TableChanges(table, since, version, told, after_outage))
 
-    def _table_changes(self, peer: str, changes: TableChanges) -> None:
+    def _receive_table_changes(self, peer: str, changes: TableChanges) -> None:
         watcher = self._watchers_by_table.get(changes.table)
         if watcher is None:
             return
@@ -280,8 +280,8 @@
             for part, key, value, version, removed in changes.rows
         ]
         # All near peers were told.
-        told = self._told_versions.get(changes.table, 0)
-        self._told_versions[changes.table] = max(told, changes.version)
+        told = self._announced_versions.get(changes.table, 0)
+        self._announced_versions[changes.table] = max(told, changes.version)
         watcher.apply_changes_from_peer(rows, changes.since, changes.version, peer)
 
     def _peer_lost(self, member: Member) -> None:
@@ -294,19 +294,19 @@
         """Return the own copy of a table."""
         return self._watchers_by_table[table].copy
 
-    def _peer_has(self, peer: str, table: str, version: int) -> None:
-        if table not in self._watchers_by_table or self._reaches(table, version):
+    def _note_peer_version(self, peer: str, table: str, version: int) -> None:
+        if table not in self._watchers_by_table or self._includes(table, version):
             return
-        behind = self._behind_by_table.get(table)
+        behind = self._stale_by_table.get(table)
         if behind is not None:
             if version >= behind.version:
                 behind.version = version
                 behind.peer = peer
             return
-        timer = self._ask_in(self._patience_s(table), table)
-        self._behind_by_table[table] = Behind(version, peer, timer)
+        timer = self._schedule_request(self._store_wait_s(table), table)
+        self._stale_by_table[table] = StaleTable(version, peer, timer)
 
-    def _reaches(self, table: str, version: int) -> bool:
+    def _includes(self, table: str, version: int) -> bool:
         """Whether the own copy includes all changes up to ``version``.
 
         A row that a whole read no longer has is dated by that read, so the version of
@@ -315,7 +315,7 @@
         copy = self.copy_of(table)
         return version <= max(copy.version, copy.read_version)
 
-    def _patience_s(self, table: str) -> float:
+    def _store_wait_s(self, table: str) -> float:
         """Return how long the store has to tell what a peer knows already.
 
         A table that is watched now and then only is behind most of the time.
@@ -323,25 +323,25 @@
         spacing_s = self._watchers_by_table[table].min_interval_s
         if not spacing_s or not self._reach.reached:
             return PEER_COPY_DELAY_S
-        return spacing_s + SLOW_WATCH_S
+        return spacing_s + SLOW_ANSWER_S
 
-    def _ask_in(self, delay_s: float, table: str) -> asyncio.TimerHandle:
+    def _schedule_request(self, delay_s: float, table: str) -> asyncio.TimerHandle:
         loop = asyncio.get_running_loop()
-        return loop.call_later(delay_s, self._ask_if_behind, table)
+        return loop.call_later(delay_s, self._request_if_stale, table)
 
-    def _ask_if_behind(self, table: str) -> None:
+    def _request_if_stale(self, table: str) -> None:
         """Ask one peer for its copy, and another if that gives no answer soon."""
-        behind = self._behind_by_table[table]
-        if self._reaches(table, behind.version):
-            del self._behind_by_table[table]
+        behind = self._stale_by_table[table]
+        if self._includes(table, behind.version):
+            del self._stale_by_table[table]
             return
         if not self._mesh.send(behind.peer, TableAsk(table)):
-            del self._behind_by_table[table]  # the next heartbeat of a peer tells again
+            del self._stale_by_table[table]  # the next heartbeat of a peer tells again
             return
-        behind.asked_version = behind.version
-        behind.timer = self._ask_in(REQUEST_RETRY_DELAY_S, table)
+        behind.requested_version = behind.version
+        behind.timer = self._schedule_request(REQUEST_RETRY_DELAY_S, table)
 
-    def _table_ask(self, peer: str, ask: TableAsk) -> None:
+    def _receive_table_ask(self, peer: str, ask: TableAsk) -> None:
         watcher = self._watchers_by_table.get(ask.table)
         if watcher is None or not watcher.copy.loaded:
             return
@@ -352,7 +352,7 @@
         version = watcher.copy.read_version
         self._mesh.send(peer, TableWhole(ask.table, version, rows))
 
-    def _table_whole(self, peer: str, whole: TableWhole) -> None:
+    def _receive_table_whole(self, peer: str, whole: TableWhole) -> None:
         watcher = self._watchers_by_table.get(whole.table)
         if watcher is None:
             return
@@ -361,7 +361,7 @@
             for part, key, value, version in whole.rows
         ]
         watcher.apply_snapshot_from_peer(rows, whole.version, peer)
-        behind = self._behind_by_table.get(whole.table)
-        if behind is not None and behind.version > behind.asked_version:
+        behind = self._stale_by_table.get(whole.table)
+        if behind is not None and behind.version > behind.requested_version:
             behind.timer.cancel()
-            self._ask_if_behind(whole.table)
+            self._request_if_stale(whole.table)
--- a/src/caperridge/gateway/observed_store.py
+++ b/src/caperridge/gateway/observed_store.py
@@ -48,21 +48,21 @@
     ) -> Result[RowsRead, StoreError]:
         """See :meth:`RowStore.read`."""
         call = self._store.read(table, part, first, end, limit)
-        return self._told(await self._observed("read", call))
+        return self._with_clock_update(await self._observed("read", call))
 
     async def transact(
         self, transaction: Transaction
     ) -> Result[Done, TransactionError]:
         """See :meth:`RowStore.transact`."""
         call = self._store.transact(transaction)
-        return self._told(await self._observed("transact", call))
+        return self._with_clock_update(await self._observed("transact", call))
 
     async def changes(
         self, table: str, since: int, wait_s: float
     ) -> Result[RowsRead, ChangesError]:
         """See :meth:`RowStore.changes`."""
         call = self._store.changes(table, since, wait_s)
-        return self._told(await self._observed("changes", call))
+        return self._with_clock_update(await self._observed("changes", call))
 
     async def put_object(self, name: str, data: bytes) -> Result[None, StoreError]:
         """See :meth:`RowStore.put_object`."""
@@ -87,7 +87,7 @@
         self._metrics.store_calls.labels(name, outcome).inc()
         return answer
 
-    def _told(self, answer: Result[T, E]) -> Result[T, E]:
+    def _with_clock_update(self, answer: Result[T, E]) -> Result[T, E]:
         now_s = getattr(answer.ok_value, "now_s", 0.0) if answer.is_ok() else 0.0
         if now_s:
             self._clock.update(now_s)
--- a/src/caperridge/gateway/registry.py
+++ b/src/caperridge/gateway/registry.py
@@ -33,15 +33,15 @@
     def __init__(self, store: RowStore, mesh: Mesh) -> None:
         self._store = store
         self._mesh = mesh
-        self._listed = False
+        self._registered = False
 
     async def run(self) -> None:
         """List and look until cancelled."""
         pause_s = FIRST_POLL_DELAY_S
         while True:
-            if not self._listed:
+            if not self._registered:
                 await self._register()
-            if await self._read_members() and self._listed:
+            if await self._read_members() and self._registered:
                 crowd = len(self._mesh.members_by_id) / FULL_RATE_MEMBERS
                 pause_s = POLL_INTERVAL_S * max(1.0, crowd)
             await asyncio.sleep(pause_s)
@@ -58,7 +58,7 @@
     async def _register(self) -> None:
         value = pack([self._mesh.address, self._mesh.zone, self._mesh.incarnation])
         answer = await self._store.transact(Transaction({}, {self._key(): value}))
-        self._listed = not isinstance(answer, Err)
+        self._registered = not isinstance(answer, Err)
 
     async def _read_members(self) -> bool:
         answer = await read_all_rows(self._store, TABLE)
--- a/src/caperridge/gateway/relayed_store.py
+++ b/src/caperridge/gateway/relayed_store.py
@@ -39,9 +39,9 @@
 
 # After a failure, calls go by a peer first for so long; the watches look meanwhile
 # whether the store serves this instance again.
-AWAY_S = 1.0
+PEER_FIRST_S = 1.0
 # A peer in another availability zone is 2 ms away, the store some 25 ms.
-PEER_S = 1.0
+PEER_TIMEOUT_S = 1.0
 
 
 class RelayedStore(RowStore):
@@ -65,12 +65,12 @@
         self._mesh = mesh
         self._reach = reach
         self._chance = chance
-        self._away_until = 0.0
+        self._peer_first_until = 0.0
         self._numbers = itertools.count(1)
-        self._asked: dict[int, asyncio.Future[StoreAnswer]] = {}
-        self._serving: set[asyncio.Task[None]] = set()
+        self._pending_by_number: dict[int, asyncio.Future[StoreAnswer]] = {}
+        self._relay_tasks: set[asyncio.Task[None]] = set()
         mesh.register(StoreAsk, self._serve)
-        mesh.register(StoreAnswer, self._answered)
+        mesh.register(StoreAnswer, self._receive_answer)
 
     async def read(
         self,
@@ -110,48 +110,49 @@
     async def _call(self, name: str, arguments: list[Any]) -> Result[Any, Any]:
         loop = asyncio.get_running_loop()
         away = (
-            loop.time() < self._away_until or self._reach.unreachable_since is not None
+            loop.time() < self._peer_first_until
+            or self._reach.unreachable_since is not None
         )
         if away:
-            answer = await self._by_peer(name, arguments)
+            answer = await self._call_peer(name, arguments)
             if answer is not None:
                 return answer
-        answer = await _called(self._store, name, arguments)
-        if not _turned_away(answer):
-            self._away_until = 0.0
+        answer = await _call_store(self._store, name, arguments)
+        if not _is_failed_call(answer):
+            self._peer_first_until = 0.0
             return answer
-        self._away_until = loop.time() + AWAY_S
+        self._peer_first_until = loop.time() + PEER_FIRST_S
         self._reach.recheck()
         if away or isinstance(answer.err_value, Unknown):
             return answer
-        relayed = await self._by_peer(name, arguments)
+        relayed = await self._call_peer(name, arguments)
         return answer if relayed is None else relayed
 
-    async def _by_peer(self, name: str, arguments: list[Any]) -> Any:
+    async def _call_peer(self, name: str, arguments: list[Any]) -> Any:
         """Return a peer's answer; None if there is none to ask or it was not reached.
 
         A write that a peer was asked for and did not answer is unknown.
         """
-        peer = self._peer()
+        peer = self._choose_peer()
         if peer is None:
             return None
         number = next(self._numbers)
         future: asyncio.Future[StoreAnswer] = asyncio.get_running_loop().create_future()
-        self._asked[number] = future
+        self._pending_by_number[number] = future
         try:
             if not self._mesh.send(peer.id, StoreAsk(number, name, arguments)):
                 return None
-            async with asyncio.timeout(PEER_S):
+            async with asyncio.timeout(PEER_TIMEOUT_S):
                 answer = await future
         except TimeoutError:
             log.info("peer did not relay", peer=peer.id, call=name)
             return Err(Unknown("the peer did not answer", reached=False))
         finally:
-            del self._asked[number]
+            del self._pending_by_number[number]
         log.debug("call relayed", peer=peer.id, call=name, outcome=answer.outcome)
         return answer_from_plain(answer.outcome, answer.fields)
 
-    def _peer(self) -> Member | None:
+    def _choose_peer(self) -> Member | None:
         alive = [peer for peer in self._mesh.alive() if peer.store_reached]
         # One that leaves may end before it has the store's answer.
         reaching = [peer for peer in alive if not peer.leaving] or alive
@@ -161,25 +162,27 @@
 
     def _serve(self, peer: str, ask: StoreAsk) -> None:
         task = asyncio.get_running_loop().create_task(self._relay(peer, ask))
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        self._relay_tasks.add(task)
+        task.add_done_callback(self._relay_tasks.discard)
 
     async def _relay(self, peer: str, ask: StoreAsk) -> None:
         try:
-            answer = await _called(self._store, ask.call, ask.arguments)
+            answer = await _call_store(self._store, ask.call, ask.arguments)
         except (TypeError, ValueError) as error:
             log.error("call not relayed", peer=peer, call=ask.call, reason=str(error))
             return
         outcome, fields = answer_to_plain(answer)
         self._mesh.send(peer, StoreAnswer(ask.number, outcome, fields))
 
-    def _answered(self, peer: str, answer: StoreAnswer) -> None:
-        future = self._asked.get(answer.number)
+    def _receive_answer(self, peer: str, answer: StoreAnswer) -> None:
+        future = self._pending_by_number.get(answer.number)
         if future is not None and not future.done():
             future.set_result(answer)
 
 
-async def _called(store: RowStore, name: str, arguments: list[Any]) -> Result[Any, Any]:
+async def _call_store(
+    store: RowStore, name: str, arguments: list[Any]
+) -> Result[Any, Any]:
     """Call ``store`` with plain arguments.
 
     Raises:
@@ -198,7 +201,7 @@
     raise ValueError(f"no call {name}")
 
 
-def _turned_away(answer: Result[Any, Any]) -> bool:
+def _is_failed_call(answer: Result[Any, Any]) -> bool:
     if not isinstance(answer, Err) or isinstance(answer.err_value, Refused):
         return False
     return isinstance(answer.err_value, NotDone | Unknown)
--- a/src/caperridge/gateway/repeating_store.py
+++ b/src/caperridge/gateway/repeating_store.py
@@ -52,7 +52,7 @@
 
     def __init__(self, store: RowStore) -> None:
         self._store = store
-        self._usual_s_by_call: dict[str, float] = {}
+        self._mean_s_by_call: dict[str, float] = {}
 
     async def read(
         self,
@@ -69,9 +69,7 @@
         self, transaction: Transaction
     ) -> Result[Done, TransactionError]:
         """See :meth:`RowStore.transact`."""
-        return await self._repeated(
-            "transact", lambda: self._store.transact(transaction)
-        )
+        return await self._hedged("transact", lambda: self._store.transact(transaction))
 
     async def changes(
         self, table: str, since: int, wait_s: float
@@ -81,7 +79,7 @@
 
     async def put_object(self, name: str, data: bytes) -> Result[None, StoreError]:
         """See :meth:`RowStore.put_object`."""
-        return await self._repeated(
+        return await self._hedged(
             "put_object", lambda: self._store.put_object(name, data)
         )
 
@@ -95,21 +93,21 @@
 
     def hedge_delay_s(self, name: str) -> float:
         """Return after how long an answer to a call is overdue."""
-        usual_s = self._usual_s_by_call.get(name, 0.0)
+        usual_s = self._mean_s_by_call.get(name, 0.0)
         return max(MIN_HEDGE_DELAY_S, HEDGE_DELAY_RATIO * usual_s)
 
-    async def _repeated(
+    async def _hedged(
         self, name: str, call: Callable[[], Awaitable[Result[T, E]]]
     ) -> Result[T, E]:
         calls: set[asyncio.Task[Result[T, E]]] = set()
         try:
             while len(calls) < MAX_CALLS:
                 calls.add(asyncio.ensure_future(self._timed(name, call)))
-                answer = await _first_certain(calls, self.hedge_delay_s(name))
+                answer = await _first_conclusive(calls, self.hedge_delay_s(name))
                 if answer is not None:
                     return answer
                 log.info("store overdue", call=name, calls=len(calls))
-            answer = await _first_certain(calls, None)
+            answer = await _first_conclusive(calls, None)
             assert answer is not None
             return answer
         finally:
@@ -124,12 +122,12 @@
         answer = await call()
         if not isinstance(answer, Err) or isinstance(answer.err_value, Refused):
             took_s = loop.time() - began
-            usual_s = self._usual_s_by_call.get(name, took_s)
-            self._usual_s_by_call[name] = usual_s + SMOOTHING_RATIO * (took_s - usual_s)
+            usual_s = self._mean_s_by_call.get(name, took_s)
+            self._mean_s_by_call[name] = usual_s + SMOOTHING_RATIO * (took_s - usual_s)
         return answer
 
 
-async def _first_certain(
+async def _first_conclusive(
     calls: set[asyncio.Task[Result[T, E]]], within_s: float | None
 ) -> Result[T, E] | None:
     """Return the first answer that settles what became of all calls.
@@ -146,11 +144,11 @@
     until = None if within_s is None else loop.time() + within_s
     while True:
         for one in calls:
-            if one.done() and _settles(one.result()):
+            if one.done() and _is_conclusive(one.result()):
                 return one.result()
         open_calls = {one for one in calls if not one.done()}
         if not open_calls:
-            return _unsettled([one.result() for one in calls])
+            return _inconclusive([one.result() for one in calls])
         left_s = None if until is None else until - loop.time()
         if left_s is not None and left_s <= 0:
             return None
@@ -159,7 +157,7 @@
         )
 
 
-def _settles(answer: Result[T, E]) -> bool:
+def _is_conclusive(answer: Result[T, E]) -> bool:
     """Whether an answer says what became of earlier calls too.
 
     That one was not done says nothing of another that has no answer.
@@ -167,7 +165,7 @@
     return answer.is_ok() or isinstance(answer.err_value, Refused)
 
 
-def _unsettled(answers: list[Result[T, E]]) -> Result[T, E]:
+def _inconclusive(answers: list[Result[T, E]]) -> Result[T, E]:
     if len(answers) == 1:
         return answers[0]
     if all(isinstance(one.err_value, NotDone) for one in answers):
--- a/src/caperridge/gateway/table_rows.py
+++ b/src/caperridge/gateway/table_rows.py
@@ -75,7 +75,7 @@
         now = asyncio.get_running_loop().time()
         for row in rows:
             if not row.removed:
-                self._target(row, source)
+                self._apply_target(row, source)
                 continue
             name = row.key.key
             target = self._fleet.targets.named(name)
@@ -88,7 +88,7 @@
         self._fleet.changed()
         self.on_applied(self._dialect.targets_table)
 
-    def _target(self, row: StoredRow, source: str) -> None:
+    def _apply_target(self, row: StoredRow, source: str) -> None:
         targets = self._fleet.targets
         name = row.key.key
         try:
--- a/src/caperridge/gateway/unowned.py
+++ b/src/caperridge/gateway/unowned.py
@@ -24,11 +24,11 @@
 log = logger(__name__)
 
 # Longer than most runs of items; whatever was left behind has ended by then.
-LOOK_FOR_S = 7.0
-LOOK_S = 0.25
+SCAN_DURATION_S = 7.0
+SCAN_INTERVAL_S = 0.25
 # A target's word is some 100 ms old; one that comes no more is forgotten after this.
-KEPT_S = 0.8
-ASK_S = 0.3
+REPORT_TTL_S = 0.8
+LOAD_TIMEOUT_S = 0.3
 # Stands in the counts for whoever started those runs.
 ORPHANED = "?"
 
@@ -57,19 +57,19 @@
         self._client = client
         self._dialect = dialect
         self._mesh = mesh
-        self._until = 0.0
+        self._scan_until = 0.0
         self._last_by_target: dict[str, int] = {}
-        self._told_at_by_target: dict[str, float] = {}
-        mesh.register(UnownedRuns, self._told)
-        mesh.on_lost(self._lost)
+        self._recorded_at_by_target: dict[str, float] = {}
+        mesh.register(UnownedRuns, self._record_count)
+        mesh.on_lost(self._member_lost)
 
-    def _lost(self, member: Member) -> None:
+    def _member_lost(self, member: Member) -> None:
         if not member.leaving:  # a planned stop leaves no runs behind
             self.start_scan()
 
     def start_scan(self) -> None:
         """Look for a while from now on."""
-        self._until = asyncio.get_running_loop().time() + LOOK_FOR_S
+        self._scan_until = asyncio.get_running_loop().time() + SCAN_DURATION_S
 
     async def run(self) -> None:
         """Look until cancelled; the start is a reason to look."""
@@ -77,15 +77,17 @@
         while True:
             now = asyncio.get_running_loop().time()
             self._expire(now)
-            if now < self._until:
-                await self._look()
-            await asyncio.sleep(LOOK_S)
+            if now < self._scan_until:
+                await self._scan()
+            await asyncio.sleep(SCAN_INTERVAL_S)
 
-    async def _look(self) -> None:
-        await asyncio.gather(*(self._ask(target) for target in self._targets()))
+    async def _scan(self) -> None:
+        await asyncio.gather(
+            *(self._check_target(target) for target in self._targets())
+        )
 
-    async def _ask(self, target: Target) -> None:
-        answer = await self._client.get(target, self._dialect.load_path, ASK_S)
+    async def _check_target(self, target: Target) -> None:
+        answer = await self._client.get(target, self._dialect.load_path, LOAD_TIMEOUT_S)
         if isinstance(answer, Err):
             error = answer.err_value
             if isinstance(error, TargetRefused) and error.replaced:
@@ -108,11 +110,11 @@
         if lasting or occupancy.of(ORPHANED, target.id).total:
             news = UnownedRuns(target.id, lasting)
             self._mesh.send_near(news)
-            self._told(self._mesh.instance, news)
+            self._record_count(self._mesh.instance, news)
 
-    def _told(self, peer: str, news: UnownedRuns) -> None:
+    def _record_count(self, peer: str, news: UnownedRuns) -> None:
         before = self._fleet.occupancy.of(ORPHANED, news.target).total
-        self._told_at_by_target[news.target] = asyncio.get_running_loop().time()
+        self._recorded_at_by_target[news.target] = asyncio.get_running_loop().time()
         if before == news.count:
             return
         log.info("orphaned runs", target=news.target, count=news.count, source=peer)
@@ -120,8 +122,8 @@
         self._fleet.changed()
 
     def _expire(self, now: float) -> None:
-        for target, told_at in list(self._told_at_by_target.items()):
-            if now - told_at > KEPT_S:
-                del self._told_at_by_target[target]
+        for target, told_at in list(self._recorded_at_by_target.items()):
+            if now - told_at > REPORT_TTL_S:
+                del self._recorded_at_by_target[target]
                 self._fleet.occupancy.told(ORPHANED, target, Count())
                 self._fleet.changed()
--- a/src/caperridge/gateway/watcher.py
+++ b/src/caperridge/gateway/watcher.py
@@ -42,20 +42,20 @@
     def __init__(self) -> None:
         self.reached = False
         self.unreachable_since: float | None = None
-        self._returned: list[Callable[[float], None]] = []
-        self._rechecks: list[Callable[[], None]] = []
+        self._recovered_callbacks: list[Callable[[float], None]] = []
+        self._recheck_callbacks: list[Callable[[], None]] = []
 
     def on_recovered(self, call: Callable[[float], None]) -> None:
         """Have ``call`` called with the time when the store answers again."""
-        self._returned.append(call)
+        self._recovered_callbacks.append(call)
 
     def on_recheck(self, call: Callable[[], None]) -> None:
         """Have ``call`` called when the store should be looked at again."""
-        self._rechecks.append(call)
+        self._recheck_callbacks.append(call)
 
     def recheck(self) -> None:
         """Have the watches find out whether the store answers."""
-        for call in self._rechecks:
+        for call in self._recheck_callbacks:
             call()
 
     def record_success(self) -> None:
@@ -69,7 +69,7 @@
         self.reached = True
         log.info("store reached", away_s=away_s)
         if self.unreachable_since is not None:
-            for call in self._returned:
+            for call in self._recovered_callbacks:
                 call(now)
         self.unreachable_since = None
 
@@ -113,7 +113,7 @@
         self.copy = copy
         self.min_interval_s = min_interval_s
         self.publish: Publish = lambda rows, since, version: None
-        self._reads = reads
+        self._is_reader = reads
         self._chance = chance or random.Random()
         self._wake = asyncio.Event()
         reach.on_recheck(self.poll_now)
@@ -150,7 +150,7 @@
     @property
     def is_reader(self) -> bool:
         """Whether this instance watches the table all the time."""
-        return self._reads(self.copy.table)
+        return self._is_reader(self.copy.table)
 
     def poll_now(self) -> None:
         """Look at the table now if others read it."""
--- a/tests/gateway/test_contacts.py
+++ b/tests/gateway/test_contacts.py
@@ -153,13 +153,13 @@
     said = (member.id, member.incarnation, member.address, member.zone)
     relay._member_lost("", MemberLost(member.id, member.incarnation))
     assert member.lost_at is not None
-    assert relay._note_alive(*said) is None
+    assert relay._record_alive(*said) is None
     assert member.lost_at is not None
     later = (member.id, f"{member.id}.later", member.address, member.zone)
-    assert relay._note_alive(*later) is member
+    assert relay._record_alive(*later) is member
     assert member.lost_at is None
     # What is still passed on of the life before says nothing.
-    assert relay._note_alive(*said) is None
+    assert relay._record_alive(*said) is None
     assert member.incarnation == f"{member.id}.later"
 
 
@@ -238,13 +238,13 @@
     place = [member.id, member.incarnation, member.address, member.zone]
     sign = RelayedHeartbeats([[*place, False, True, [["i-0", 1, 0, 0.0]]]])
     relay = near.mesh._relay
-    relay._relayed_heartbeats("", sign)
+    relay._receive_heartbeats("", sign)
     relay._deliver(
         [member.id, member.incarnation, encode_body(Counts([["i-0", 3, 0]]))]
     )
     assert near.fleet.occupancy.of(member.id, "i-0").online == 3
-    relay._relayed_heartbeats("", sign)
+    relay._receive_heartbeats("", sign)
     assert near.fleet.occupancy.of(member.id, "i-0").online == 1
     heard_at = member.last_received_at
-    relay._relayed_heartbeats("", sign)
+    relay._receive_heartbeats("", sign)
     assert member.last_received_at > heard_at
--- a/tests/gateway/test_holders.py
+++ b/tests/gateway/test_holders.py
@@ -96,7 +96,7 @@
             self.mesh.mark_lost(member, "it was started again")
         member.incarnation = incarnation
         self.mesh.roster.changes += 1
-        self.mesh._heard(member, None)
+        self.mesh._handle(member, None)
 
     def loses(self, incarnation: str) -> None:
         """Find that a life of a peer is silent."""
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -24,13 +24,13 @@
 
     def __init__(self, instance: GatewayInstance) -> None:
         super().__init__()
-        hears = instance.mesh._heard
+        hears = instance.mesh._handle
 
         def heard(member, message) -> None:
             self[type(message)] += 1
             hears(member, message)
 
-        instance.mesh._heard = heard
+        instance.mesh._handle = heard
 
 
 async def test_of_an_idle_peer_only_its_life_is_heard_between_whole_heartbeats(
@@ -64,7 +64,7 @@
     end = asyncio.get_running_loop().time() + BEAT_S * FULL_HEARTBEAT_PERIOD_BEATS * 2
     while asyncio.get_running_loop().time() < end:
         telling.mesh.send_near(Counts([]))
-        await asyncio.sleep(mesh.RECENT_S / 4)
+        await asyncio.sleep(mesh.RECENTLY_SENT_S / 4)
     assert heard[Counts] > 0
     assert heard[Alive] <= 1  # the loop may have been late once
 
@@ -102,8 +102,8 @@
 @pytest.mark.parametrize(
     ("zone", "silent_s", "lost"),
     [
-        ("a", BEAT_S + mesh.RECENT_S, False),
-        ("a", 2 * BEAT_S + mesh.RECENT_S, False),
+        ("a", BEAT_S + mesh.RECENTLY_SENT_S, False),
+        ("a", 2 * BEAT_S + mesh.RECENTLY_SENT_S, False),
         ("a", mesh.SILENCE_TIMEOUT_S + 0.01, True),
         ("b", 2 * CONTACTS_PER_ZONE * BEAT_S, False),
         ("b", mesh.FAR_SILENCE_TIMEOUT_S + 0.01, True),
--- a/tests/gateway/test_overdue_answers.py
+++ b/tests/gateway/test_overdue_answers.py
@@ -109,7 +109,7 @@
 async def test_a_slow_store_is_waited_for(scripted: ScriptedStore) -> None:
     store = HedgingStore(scripted)
     assert store.hedge_delay_s("transact") == MIN_HEDGE_DELAY_S
-    store._usual_s_by_call["transact"] = 0.5
+    store._mean_s_by_call["transact"] = 0.5
     assert store.hedge_delay_s("transact") == 0.5 * HEDGE_DELAY_RATIO
 
 
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -339,8 +339,8 @@
     id = peer.settings.instance
     peer.news.send_heartbeat = lambda: None
     await asyncio.sleep(BEAT_S)
-    instance.news._heartbeat(id, Heartbeat([], {}, store_reached=True))
+    instance.news._receive_heartbeat(id, Heartbeat([], {}, store_reached=True))
     looked: list[None] = []
     instance.reach.recheck = lambda: looked.append(None)
-    instance.news._heartbeat(id, Heartbeat([], {}, store_reached=False))
+    instance.news._receive_heartbeat(id, Heartbeat([], {}, store_reached=False))
     assert len(looked) == rechecks
