--- a/src/caperridge/instance/dispatcher.py
+++ b/src/caperridge/instance/dispatcher.py
@@ -12,8 +12,12 @@
 from typing import Any
 
 from caperridge.decisions.claims import must_fail
-from caperridge.decisions.item_failures import SUSPECT_FAULTS, GiveUp, after_failure
-from caperridge.decisions.job_board import JobBoard
+from caperridge.decisions.item_failures import (
+    SUSPECT_FAULT_THRESHOLD,
+    FailItem,
+    after_failure,
+)
+from caperridge.decisions.job_board import OpenJobs
 from caperridge.decisions.jobs import ItemFaults, ItemResult, Job
 from caperridge.decisions.membership import Membership
 from caperridge.decisions.unserved import UnservedServices
@@ -90,7 +94,7 @@
         self._metrics = metrics
         self._clock = clock
         self._works_by_key: dict[str, ChunkWork] = {}
-        self._board = JobBoard(membership.instance)
+        self._board = OpenJobs(membership.instance)
         self._claiming: set[str] = set()
         self._finishing_by_key: dict[str, ChunkWork] = {}
         self._retries = ItemRetries()
@@ -181,14 +185,14 @@
         if not work.items_by_index:
             self._finish(work)
             return
-        self._board.meter(work.job.service).started(now)
+        self._board.meter(work.job.service).start(now)
         if not self._parked:
             self._submit_all(work)
 
     @handle.register
     async def _(self, message: ClaimEnded) -> None:
         self._claiming.discard(message.service)
-        self._board.claim_ended(
+        self._board.record_claim_round(
             message.service, message.reasons_by_job, message.remaining_by_job
         )
 
@@ -221,7 +225,7 @@
             self._retries.add(item, self._clock(), alone=False)
             return
         verdict = after_failure(error, item.request, place.faults, place.failures)
-        if isinstance(verdict, GiveUp):
+        if isinstance(verdict, FailItem):
             result = failed_result(place, verdict.code, verdict.reason, verdict.status)
             self._end_item(place.work, result)
             return
@@ -239,7 +243,7 @@
         service = work.job.service
         now = self._clock()
         self._checkpoints.ended(work.job.id, result.to_map(), now, irreplaceable)
-        self._board.meter(service).ended(1, now)
+        self._board.meter(service).record(1, now)
         outcome = "failed" if result.error else "completed"
         self._metrics.batch_items.labels(service, outcome).inc()
         if self._checkpoints.due(now):
@@ -332,7 +336,7 @@
         """Let the items of ``work`` run; those that broke targets one by one."""
         for item in list(work.items_by_index.values()):
             place: ItemPlace = item.context
-            if place.faults >= SUSPECT_FAULTS:
+            if place.faults >= SUSPECT_FAULT_THRESHOLD:
                 self._retries.add(item, self._clock(), alone=True)
                 continue
             self.streams.submit(item)
@@ -340,7 +344,7 @@
     def _want(self, service: str) -> None:
         if service in self._claiming:
             return
-        want = self._board.want(
+        want = self._board.claim_quota(
             service,
             self.streams.room(service),
             items_in_hand(self._works_by_key.values(), service),
@@ -381,7 +385,7 @@
             return "the platform is away"
         if self._session.left_s() <= 0:
             return "the lease of this instance has ended"
-        return self._board.reason(job_id)
+        return self._board.wait_reason(job_id)
 
     def state(self) -> dict[str, Any]:
         """Return the dispatcher's state for the dump."""
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -12,7 +12,7 @@
     TableWhole,
 )
 from caperridge.gateway.news import PEER_COPY_DELAY_S, REQUEST_RETRY_DELAY_S
-from caperridge.gateway.process import INDEX_SPACING_S, GatewayInstance
+from caperridge.gateway.process import INDEX_READ_INTERVAL_S, GatewayInstance
 from gateway.conftest import World, until
 from loop_clock import LoopClock
 
@@ -98,7 +98,7 @@
     index = instance.index.copy
     newer = Heartbeat([], {index.table: index.read_version + 100})
     instance.news._receive_heartbeat(PEERS[0], newer)
-    await clock.ahead(INDEX_SPACING_S)
+    await clock.ahead(INDEX_READ_INTERVAL_S)
     assert asks == []
     await clock.ahead_until(lambda: bool(asks))
 
@@ -112,7 +112,7 @@
     index = instance.index.copy
     newer = Heartbeat([], {index.table: index.read_version + 100})
     instance.news._receive_heartbeat(PEERS[0], newer)
-    await until(lambda: asks, INDEX_SPACING_S)
+    await until(lambda: asks, INDEX_READ_INTERVAL_S)
 
 
 async def test_what_a_peer_counts_is_not_told_on(instance: GatewayInstance) -> None:
@@ -121,10 +121,10 @@
     instance.news._flush = lambda: flushed.append(None)
     instance.news._receive_counts(PEERS[0], Counts([["i-0", 1, 0, 0.0]]))
     await asyncio.sleep(0)
-    assert instance.fleet.occupancy.at("i-0").online == 1
+    assert instance.fleet.occupancy.total_at("i-0").online == 1
     assert flushed == []
     instance.fleet.occupancy.add("i-0", online=1)
-    instance.fleet.changed()
+    instance.fleet.notify_changed()
     await asyncio.sleep(0)
     assert flushed == [None]
 
@@ -133,7 +133,7 @@
     instance: GatewayInstance, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each learns them by itself; 45 bytes a service would go out at each beat."""
-    instance.fleet.lengths("model").online_s = 0.7
+    instance.fleet.run_lengths("model").online_s = 0.7
     sent: list[object] = []
     monkeypatch.setattr(instance.mesh, "send_all", sent.append)
     monkeypatch.setattr(instance.mesh, "send_near", sent.append)
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -3,15 +3,20 @@
 import pytest
 from result import Err, Ok
 
-from caperridge.commands.orders import release_target, take_target
+from caperridge.commands.orders import acquire_target, release_target
 from caperridge.config.model import Service
-from caperridge.decisions.load_pacing import MOST_LOADS, Load, may_begin, under_way
-from caperridge.decisions.loaded_book import LoadedBook, LoadedState
+from caperridge.decisions.load_pacing import (
+    MAX_LOADS,
+    Load,
+    active_loads,
+    blocked_reason,
+)
+from caperridge.decisions.loaded_book import LoadedState, LoadedStates
 from caperridge.decisions.order_leases import (
     DeclareLapsed,
     OrderLease,
     OrderRow,
-    SessionSeen,
+    SessionRow,
     TakeOver,
     Wait,
 )
@@ -33,7 +38,7 @@
 NORTH_2 = Loaded("north", "2", ["billing"])
 BARE_1 = Loaded("north", "1")
 BATCH_1 = Loaded("north", "1", ["billing"], BATCH)
-ALIVE = SessionSeen("alive", 3)
+ALIVE = SessionRow("alive", 3)
 
 
 @pytest.mark.parametrize(
@@ -84,10 +89,10 @@
 def test_a_target_that_checks_nothing_is_waited_for(state: str, checks: bool) -> None:
     lease = OrderLease(checks)
     row = OrderRow("other", 7, LEASE_S)
-    taken = lease.decide(row, SessionSeen(state, 4), "own", 50.0)
+    taken = lease.decide(row, SessionRow(state, 4), "own", 50.0)
     assert isinstance(taken, TakeOver)
     assert taken.fence == 8
-    lease.taken("own", taken)
+    lease.record_takeover("own", taken)
     assert lease.may_order("own", 5.0, 2.0, 50.0) is checks
     assert lease.may_order("own", 5.0, 2.0, 50.0 + LEASE_S * 1.1)
     assert not lease.may_order("own", 1.0, 2.0, 50.0 + LEASE_S * 1.1)
@@ -98,7 +103,7 @@
     lease = OrderLease()
     row = OrderRow("other", 7, LEASE_S)
     assert lease.decide(row, ALIVE, "own", 0.0) == Wait()
-    renewed = SessionSeen("alive", 4)
+    renewed = SessionRow("alive", 4)
     assert lease.decide(row, renewed, "own", 9.0) == Wait()
     assert lease.decide(row, renewed, "own", 18.0) == Wait()
     assert lease.decide(row, renewed, "own", 20.0) == DeclareLapsed("other", 4)
@@ -108,13 +113,13 @@
     lease = OrderLease(checks_fencing=False)
     row = OrderRow("other", 7, LEASE_S)
     lease.decide(row, ALIVE, "own", 0.0)
-    taken = lease.decide(row, SessionSeen("closed", 5), "own", 9.0)
+    taken = lease.decide(row, SessionRow("closed", 5), "own", 9.0)
     assert taken == TakeOver(8, 9.0 + LEASE_S * 1.05)
 
 
 @pytest.mark.parametrize("row", [None, OrderRow("", 3, LEASE_S)])
 def test_a_target_that_nobody_holds_is_ordered_at_once(row: OrderRow | None) -> None:
-    taken = OrderLease(False).decide(row, SessionSeen(), "own", 5.0)
+    taken = OrderLease(False).decide(row, SessionRow(), "own", 5.0)
     assert taken == TakeOver(row.fence + 1 if row else 1, 5.0)
 
 
@@ -130,23 +135,23 @@
         ([load("r2")], ["r3"], "another runner of chat is away"),
         ([load("x1", "tags")], ["r2"], ""),
         (
-            [load(f"x{n}", f"s{n}") for n in range(MOST_LOADS)],
+            [load(f"x{n}", f"s{n}") for n in range(MAX_LOADS)],
             ["r2"],
-            f"{MOST_LOADS} loads share the weight store already",
+            f"{MAX_LOADS} loads share the weight store already",
         ),
     ],
 )
 def test_when_a_load_may_begin(loads: list[Load], serving: list[str], why: str) -> None:
-    assert may_begin(loads, load("r1"), serving) == why
+    assert blocked_reason(loads, load("r1"), serving) == why
 
 
 def test_a_load_whose_orderer_was_lost_is_given_up() -> None:
-    assert under_way([load("r1")], 1.0, 150.0) == [load("r1")]
-    assert under_way([load("r1")], 1.0, 201.0) == []
+    assert active_loads([load("r1")], 1.0, 150.0) == [load("r1")]
+    assert active_loads([load("r1")], 1.0, 201.0) == []
 
 
 def test_older_news_of_a_target_are_ignored() -> None:
-    book = LoadedBook()
+    book = LoadedStates()
     assert book.apply("r1", LoadedState(2, 5, NORTH_1, held=True))
     assert not book.apply("r1", LoadedState(1, 9, NORTH_2))
     assert not book.apply("r1", LoadedState(2, 5, NORTH_2))
@@ -156,8 +161,8 @@
     assert book.closed_to_batch("r1")
     assert book.apply("r1", LoadedState(3, 1, NORTH_2))
     assert not book.closed_to_online("r1", service)
-    book.forget_all_but({"r2"})
-    assert not book.states_by_target
+    book.retain({"r2"})
+    assert not book.by_target
 
 
 @pytest.fixture
@@ -267,14 +272,14 @@
     rows = []
     for member in (one, other):
         row = OrderRow(member.session.session_id, 1, LEASE_S)
-        rows.append(await take_target(world.memory, "r9", None, row))
+        rows.append(await acquire_target(world.memory, "r9", None, row))
     assert [isinstance(row, Ok) for row in rows] == [True, False]
     seen = world.memory.rows_by_key["order/r9"]
     released = await release_target(world.memory, "r9", other.session.session_id)
     assert isinstance(released.unwrap_err(), Conflict)
     await release_target(world.memory, "r9", one.session.session_id)
     late = OrderRow(other.session.session_id, 2, LEASE_S)
-    assert isinstance(await take_target(world.memory, "r9", seen, late), Err)
+    assert isinstance(await acquire_target(world.memory, "r9", seen, late), Err)
 
 
 @pytest.mark.parametrize("members", [1, 2])
