--- a/src/caperridge/gateway/mesh/__init__.py
+++ b/src/caperridge/gateway/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Streams between instances: each sends on those it opened, and hears on the others."""
+"""Mesh of instances: each sends on streams it opened and receives on the others."""
--- a/src/caperridge/gateway/mesh/contacts.py
+++ b/src/caperridge/gateway/mesh/contacts.py
@@ -1,4 +1,4 @@
-"""Contacts: the few peers of each other availability zone that a stream leads to.
+"""Choice of contacts, the few peers in each other zone that a stream leads to.
 
 Each instance chooses its own by rendezvous hashing, so that no election is needed and
 the contacts of a zone's instances are spread over the other zone.
@@ -9,7 +9,7 @@
 
 from caperridge.gateway.mesh.member import Member
 
-# With one, whoever loses it is silent for its zone until another is reached.
+# With only one, its loss cuts an instance off from its zone until another is connected.
 CONTACTS_PER_ZONE = 2
 
 
@@ -17,9 +17,9 @@
     """Return the contacts by availability zone, the best first.
 
     Args:
-        members: of other zones; those that could not be reached, are not heard from or
-            leave are chosen last, but they are chosen, or zones that were cut off from
-            each other would not meet again.
+        members: of other zones; those that could not be connected, are lost or are
+            leaving are chosen last. They are still chosen, or zones that were cut off
+            from each other would not reconnect.
         now: on the loop's clock.
     """
     members_by_zone: dict[str, list[Member]] = {}
--- a/src/caperridge/gateway/mesh/dialers.py
+++ b/src/caperridge/gateway/mesh/dialers.py
@@ -1,4 +1,4 @@
-"""Keeping a stream open to each peer that this instance speaks to."""
+"""Connection management: one outgoing stream to each peer this instance sends to."""
 
 import asyncio
 import math
@@ -14,30 +14,30 @@
 log = logger(__name__)
 
 REDIAL_DELAY_S = 0.3
-# A stream may be silent though what is sent into it is acknowledged on its way, so one
-# that is older is opened anew while its peer is silent, or says that it hears nothing.
-# Twice the silence after which a near peer is lost: one that stands still gets a
-# connection from each peer so often.
+# A stream may be dead though a device on the way acknowledges what is sent. One older
+# than this is reconnected while its peer is silent or reports receiving nothing. It is
+# twice the silence after which a near peer is lost: a stalled peer gets a connection
+# from each other peer this often.
 RENEW_AFTER_S = 3.0
-# Members are learnt in bursts: the whole list, or all peers after a loss of all.
+# Members are learnt in bursts: the whole list, or all peers after all were lost.
 RECONCILE_DELAY_S = 0.05
-# A contact that cannot be reached is replaced for so long.
+# A contact that cannot be reached is replaced for this long.
 AVOID_CONTACT_S = 2.0
-# How long a stream leads to an instance that knows nobody yet.
+# How long a stream leads to an instance that knows few members yet.
 TEMPORARY_STREAM_S = 3.0
 
 
 class Dialers:
-    """The streams of this instance to its peers.
+    """The outgoing streams of this instance.
 
     Attributes:
-        streams_by_address: all that are kept, connected or not.
-        contacts_by_zone: peers that stand for those of other zones, the best first.
+        streams_by_address: all maintained ones, connected or not.
+        contacts_by_zone: contacts in other zones, the best first.
 
     Args:
         roster: of members.
         address: own, never dialed.
-        seeds: addresses that are dialed while nobody is heard from.
+        seeds: addresses that are dialed while no member is alive.
         hello: returns the first message of a connection to an address.
         connected: called with each stream that was connected.
     """
@@ -61,7 +61,7 @@
         self._temporary_until_by_address: dict[str, float] = {}
         self._reconcile_timer: asyncio.TimerHandle | None = None
         self._reconciled_changes = -1
-        # When a guest or an avoided contact is due for another look.
+        # When a temporary stream or the avoidance of a contact ends.
         self._due_at = math.inf
 
     def start(self) -> None:
@@ -84,7 +84,7 @@
         return stream if stream is not None and stream.connected else None
 
     def members_changed(self) -> None:
-        """Open and close streams as the members ask; soon if there are many."""
+        """Reconcile the streams with the members; after a delay if there are many."""
         if not self._roster.large:
             self.reconcile()
         elif self._reconcile_timer is None:
@@ -92,24 +92,24 @@
             self._reconcile_timer = loop.call_later(RECONCILE_DELAY_S, self.reconcile)
 
     def dial_temporarily(self, address: str) -> None:
-        """Lead a stream for a while to an instance that knows few members."""
+        """Connect for a while to an instance that knows few members."""
         now = asyncio.get_running_loop().time()
         self._temporary_until_by_address[address] = now + TEMPORARY_STREAM_S
         self._due_at = min(self._due_at, now + TEMPORARY_STREAM_S)
         self._dial(address)
 
     def is_temporary(self, address: str) -> bool:
-        """Whether a stream leads to an address only until its instance knows others."""
+        """Whether the stream to an address was opened by ``dial_temporarily``."""
         return address in self._temporary_until_by_address
 
     def reconcile_if_due(self) -> None:
-        """Reconcile if members or what is known of contacts changed since the last."""
+        """Reconcile if members or contacts changed since the last time."""
         now = asyncio.get_running_loop().time()
         if self._reconciled_changes != self._roster.changes or now >= self._due_at:
             self.reconcile()
 
     def reconcile(self) -> None:
-        """Open the streams that are desired, and close all others."""
+        """Open the streams that are desired and close all others."""
         if self._reconcile_timer is not None:
             self._reconcile_timer.cancel()
             self._reconcile_timer = None
@@ -122,16 +122,16 @@
             self._dial(address)
 
     def renew(self, member: Member) -> None:
-        """End the stream to a member, for another to be opened, if it is not new."""
+        """Close the stream to a member if it is old, so that it is reconnected."""
         stream = self.stream_to(member)
         if stream is None:
             return
         if asyncio.get_running_loop().time() - stream.opened_at > RENEW_AFTER_S:
-            log.info("stream opened anew", peer=member.id)
+            log.info("reconnecting stream", peer=member.id)
             stream.close()
 
     def _desired_addresses(self) -> dict[str, None]:
-        """Return the addresses that streams shall lead to."""
+        """Return the addresses that should have a stream."""
         now = asyncio.get_running_loop().time()
         roster = self._roster
         far = roster.far()
@@ -181,7 +181,7 @@
                 await asyncio.sleep(REDIAL_DELAY_S)
 
     def _dial_failed(self, address: str) -> None:
-        """Have another contact chosen if this was the address of one."""
+        """Avoid a contact for a while if this was its address."""
         now = asyncio.get_running_loop().time()
         for contacts in self.contacts_by_zone.values():
             for member in contacts:
--- a/src/caperridge/gateway/mesh/lives.py
+++ b/src/caperridge/gateway/mesh/lives.py
@@ -1,4 +1,4 @@
-"""Which lives of instances are over, by what the mesh hears."""
+"""Incarnations: which processes of instances have ended, by the mesh's membership."""
 
 import math
 import secrets
@@ -8,7 +8,7 @@
 
 
 class Peers(Protocol):
-    """What of the mesh is asked here."""
+    """The part of the mesh that is used here."""
 
     instance: str
     incarnation: str
@@ -16,12 +16,12 @@
 
 
 def new_incarnation(instance: str) -> str:
-    """Return a name for a life of ``instance`` that begins."""
+    """Return an id for a new process of ``instance``."""
     return f"{instance}.{secrets.token_hex(4)}"
 
 
 def is_superseded(peers: Peers, incarnation: str) -> bool:
-    """Whether a later life of the same instance is heard from, or is the own one."""
+    """Whether a later incarnation of the same instance is alive, or is the own one."""
     instance = incarnation.rpartition(".")[0]
     if instance == peers.instance:
         return incarnation != peers.incarnation
@@ -32,7 +32,7 @@
 
 
 def lost_at(peers: Peers, incarnation: str) -> float:
-    """Return when a life was last found to be silent; -inf if it was never heard."""
+    """Return when an incarnation was found to be silent; -inf if it is not known."""
     member = peers.members_by_id.get(incarnation.rpartition(".")[0])
     if member is None or member.incarnation != incarnation or member.lost_at is None:
         return -math.inf
--- a/src/caperridge/gateway/mesh/member.py
+++ b/src/caperridge/gateway/mesh/member.py
@@ -1,4 +1,4 @@
-"""What is known of one other instance."""
+"""State of one other instance, as known to the mesh."""
 
 
 class Member:
@@ -8,15 +8,15 @@
         id: of the instance.
         address: that its peers connect to.
         zone: its availability zone; empty if not known.
-        incarnation: of its life as last heard; empty if never.
-        previous_incarnation: that was heard before the present one.
+        incarnation: last one received; empty if none.
+        previous_incarnation: that was received before the present one.
         last_received_at: when its last message came; -inf if there was none.
-        lost_at: when it was first found to be silent; None while it is heard.
+        lost_at: when it was found to be silent; None while it is alive.
         reported_lost_at: when its zone last reported it as lost.
-        leaving: it said that it takes no new work.
-        store_reached: it said that the store answers it.
+        leaving: it reported that it takes no new work.
+        store_reached: it reported that it reaches the store.
         affinity: rank among the contacts of this instance, lowest first.
-        avoid_until: when it may be tried as a contact after it was not reached.
+        avoid_until: when it may be a contact again after a failed connection.
     """
 
     __slots__ = (
--- a/src/caperridge/gateway/mesh/mesh.py
+++ b/src/caperridge/gateway/mesh/mesh.py
@@ -1,4 +1,7 @@
-"""The peers: who they are, who is heard from, and sending to them."""
+"""Membership and messaging among instances: gossip with timeout failure detection.
+
+Owns the member roster, the streams to and from peers, and the dispatch of messages.
+"""
 
 import asyncio
 import random
@@ -17,37 +20,36 @@
 
 log = logger(__name__)
 
-# A near peer that is told nothing else hears every 0.6 s that this one lives, so it
-# hears something at least every 0.7 s; two in a row are lost only when something is
-# wrong.
+# A near peer gets a liveness message every 0.6 s if it gets nothing else, so messages
+# are at most 0.7 s apart; two in a row are lost only if something is wrong.
 SILENCE_TIMEOUT_S = 1.5
-# Who was told something so lately needs no sign of life.
+# A peer that was sent something this recently needs no liveness message.
 RECENTLY_SENT_S = 0.1
-# Far peers are heard through contacts: each passes on with its own beat what it heard,
-# and two of them are told in turn. Two in a row are lost within 2.4 s.
+# Far peers are received through contacts: each relays with its own heartbeat what it
+# received, and two of them alternate. Two in a row are lost within 2.4 s.
 FAR_SILENCE_TIMEOUT_S = 3.0
-# How many near peers pass news on when there are too many to tell each: about three
-# hear it from each instance that had it from the store.
+# Near peers that an update is forwarded to when there are many: about three receive it
+# from each instance that read it from the store.
 GOSSIP_FANOUT = 5
-# An instance that nobody lists and that was not heard from for so long is forgotten.
-# Where there are many, the list is read twice a minute.
+# A member that is neither listed nor received from for this long is removed. With many
+# members the list is read twice a minute.
 EXPIRY_S = 90.0
-# An instance that knows fewer has just started, and is sent the whole roster.
+# An instance that knows fewer has just started, and gets the whole roster.
 MIN_KNOWN_MEMBERS = 8
 
 Handler = Callable[[str, Record], None]
 
 
 class Mesh:
-    """Streams to and from peers.
+    """Sends messages to peers, receives theirs and detects lost ones.
 
     Args:
         instance: own id.
-        incarnation: of this life of the process.
+        incarnation: of this process.
         zone: own availability zone.
         address: that peers connect to.
-        seeds: addresses to begin with.
-        chance: chooses whom to tell.
+        seeds: addresses to connect to first.
+        chance: chooses the peers of a gossip message.
     """
 
     def __init__(
@@ -82,27 +84,27 @@
         self._relay.register()
 
     def register(self, kind: type[Record], handler: Handler) -> None:
-        """Have ``handler`` told of each message of ``kind``, with its sender's id."""
+        """Call ``handler`` with each message of ``kind`` and its sender's id."""
         self._handlers_by_kind[kind] = handler
 
     def on_appear(self, call: Callable[[Member], None]) -> None:
-        """Have ``call`` called when a member begins to be heard from."""
+        """Call ``call`` when a member becomes alive."""
         self._appear_callbacks.append(call)
 
     def on_lost(self, call: Callable[[Member], None]) -> None:
-        """Have ``call`` called when a member is not heard from any more."""
+        """Call ``call`` when a member is lost."""
         self._lost_callbacks.append(call)
 
     def send_on_connect(self, call: Callable[[], Record]) -> None:
-        """Have what ``call`` returns sent on each connection that is made to a peer."""
+        """Send what ``call`` returns on each new connection to a peer."""
         self._connect_messages.append(call)
 
     def on_messages_received(self, call: Callable[[], None]) -> None:
-        """Have ``call`` called after the messages of one turn were heard."""
+        """Call ``call`` after each batch of messages that was received together."""
         self._received_callbacks.append(call)
 
     def receive_now(self) -> None:
-        """Take the messages that have come, before something is decided by them."""
+        """Handle the messages that have arrived, so that a decision includes them."""
         if self._reader is not None:
             self._reader.read_now()
 
@@ -128,11 +130,11 @@
         if self._reader is not None:
             self._reader.close()
 
-    # Who is there.
+    # Members.
 
     @property
     def changes(self) -> int:
-        """Count of what changed who is heard from, who leaves and who is where."""
+        """Count of changes of who is alive, who is leaving and where members are."""
         return self.roster.changes
 
     @property
@@ -141,24 +143,24 @@
         return self.roster.large
 
     def is_near(self, member: Member) -> bool:
-        """Whether a peer is told everything at once."""
+        """Whether a peer gets every message directly."""
         return self.roster.is_near(member)
 
     def alive(self) -> list[Member]:
-        """Return the members that are heard from."""
+        """Return the members that are alive."""
         return self.roster.alive()
 
     def incarnation_alive(self, incarnation: str) -> bool:
-        """Whether this life of an instance is the own one or is heard from."""
+        """Whether this is the own incarnation or that of a member that is alive."""
         own = incarnation == self.incarnation
         return own or self.roster.incarnation_alive(incarnation)
 
     def set_leaving(self, id: str, leaving: bool) -> None:
-        """Note whether a member takes no new work."""
+        """Record whether a member takes no new work."""
         self.roster.set_leaving(id, leaving)
 
     def learn(self, id: str, address: str, zone: str) -> None:
-        """Take note of an instance that is listed somewhere."""
+        """Record an instance that is listed in the store or by a peer."""
         if id == self.instance:
             return
         now = asyncio.get_running_loop().time()
@@ -166,7 +168,7 @@
             self._dialers.members_changed()
 
     def check_members(self) -> None:
-        """Find members that have fallen silent; forget those long gone."""
+        """Mark silent members as lost; remove those lost for long."""
         now = asyncio.get_running_loop().time()
         for member in list(self.members_by_id.values()):
             silence_s = now - member.last_received_at
@@ -182,10 +184,10 @@
         self._dialers.reconcile_if_due()
 
     def hello(self, all_members: bool = True) -> Hello:
-        """Return what this instance says first on a connection.
+        """Return the first message of a connection.
 
         Args:
-            all_members: name all members rather than those that streams lead to.
+            all_members: name all members, not only those with a stream.
         """
         known = list(self.members_by_id.values())
         if not all_members:
@@ -208,7 +210,7 @@
     # Sending.
 
     def send(self, instance: str, message: Record) -> bool:
-        """Queue ``message`` for one peer; False if there is no way to it."""
+        """Queue ``message`` for one peer; False if no connection leads there."""
         member = self.members_by_id.get(instance)
         if member is None:
             return False
@@ -222,16 +224,16 @@
         return self._relay.send(member, message)
 
     def send_all(self, message: Record) -> None:
-        """Queue ``message`` for every peer that there is a way to."""
+        """Queue ``message`` for every peer that can be reached."""
         self.send_near(message)
         self._relay.send_everywhere(message)
 
     def send_near(self, message: Record) -> None:
-        """Queue ``message`` for the peers that are told everything at once."""
+        """Queue ``message`` for all near peers."""
         self._send_to(self.roster.near(), message)
 
     def send_to_idle(self, message: Record) -> None:
-        """Queue ``message`` for the near peers that were told nothing lately."""
+        """Queue ``message`` for the near peers that were sent nothing recently."""
         before = asyncio.get_running_loop().time() - RECENTLY_SENT_S
         quiet: list[Member] = []
         for member in self.roster.near():
@@ -245,18 +247,18 @@
         self._relay.send_zone(zone, message)
 
     def send_contacts(self, message: Record, all_contacts: bool = False) -> None:
-        """Queue ``message`` for one contact in each zone, in turn, or for all."""
+        """Queue ``message`` for one contact per zone in rotation, or for all."""
         self._send_to(self._relay.contacts(all_contacts), message)
 
     def gossip(self, message: Record) -> None:
-        """Queue ``message`` for near peers, for some at random if there are many."""
+        """Queue ``message`` for near peers; for a random few if there are many."""
         members = self.roster.near()
         if self.large:
             members = self._chance.sample(members, min(GOSSIP_FANOUT, len(members)))
         self._send_to(members, message)
 
     def relay_heartbeats(self) -> None:
-        """Tell near peers what others elsewhere said since the last call."""
+        """Send near peers the far heartbeats received since the last call."""
         self._relay.relay_heartbeats()
 
     def _send_to(self, members: Sequence[Member], message: Record) -> None:
@@ -274,14 +276,14 @@
         self.traffic.add(type(message).__name__, distance, size)
 
     def _send_connect_messages(self, stream: OutStream) -> None:
-        """Say what comes after the hello."""
+        """Send what follows the hello."""
         for call in self._connect_messages:
             stream.send(encode(call()))
 
-    # Hearing.
+    # Receiving.
 
     def _receive(self, stream: InStream, message: Record | None) -> None:
-        """Take a message; the first on a stream says who speaks."""
+        """Handle a message; the first on a stream must be a hello."""
         if not stream.instance:
             if not isinstance(message, Hello):
                 stream.close()
@@ -301,7 +303,7 @@
             call()
 
     def _close_older_streams(self, stream: InStream) -> None:
-        """Close what the speaker of ``stream`` has given up; it may be silent here."""
+        """Close older streams of the same sender, which it may not have closed."""
         for other in list(self._streams):
             if other is not stream and other.instance == stream.instance:
                 other.close()
@@ -312,7 +314,7 @@
         if member is None or member.incarnation != stream.incarnation:
             return
         if not self.is_near(member):
-            return  # it has chosen another contact, or its own zone reports its end
+            return  # it chose another contact, or its own zone reports its loss
         others = any(one.incarnation == stream.incarnation for one in self._streams)
         if member.lost_at is None and not others:
             self.mark_lost(member, reason)
@@ -338,7 +340,7 @@
     def set_incarnation(
         self, member: Member, incarnation: str, address: str, zone: str
     ) -> None:
-        """Note of which life a member is heard, and where."""
+        """Record a member's incarnation and location."""
         if member.lost_at is None and member.incarnation != incarnation:
             self.mark_lost(member, "it was started again")
         moved = member.address != address or member.zone != zone
@@ -360,24 +362,24 @@
         self._relay.message_received(member, message)
 
     def mark_alive(self, member: Member) -> None:
-        """Note that a member lives."""
+        """Record that a member is alive."""
         member.last_received_at = asyncio.get_running_loop().time()
         if member.lost_at is None:
             return
         member.lost_at = None
         self.roster.changes += 1
-        log.info("peer heard", peer=member.id, incarnation=member.incarnation)
+        log.info("peer alive", peer=member.id, incarnation=member.incarnation)
         for call in self._appear_callbacks:
             call(member)
 
     def dispatch(self, member: Member, message: Record) -> None:
-        """Have what a member said handled."""
+        """Pass a member's message to its handler."""
         handler = self._handlers_by_kind.get(type(message))
         if handler is not None:
             handler(member.id, message)
 
     def mark_lost(self, member: Member, reason: str) -> None:
-        """Note that a member is not heard from any more."""
+        """Record that a member is lost."""
         member.lost_at = asyncio.get_running_loop().time()
         self.roster.changes += 1
         log.warning("peer lost", peer=member.id, reason=reason)
--- a/src/caperridge/gateway/mesh/messages.py
+++ b/src/caperridge/gateway/mesh/messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other; all of it may be lost, late or doubled."""
+"""Messages between instances; each may be lost, late or duplicated."""
 
 from typing import Any
 
@@ -6,15 +6,15 @@
 
 
 class Hello(Record):
-    """First on each stream: who speaks, and whom it knows.
+    """First message on each stream: the sender and the members it knows.
 
     Attributes:
         instance: id.
-        incarnation: of this life of the process.
+        incarnation: of its process.
         availability_zone: where it runs.
         address: that peers connect to.
         members: id, address and zone of every instance it knows.
-        unheard: ids of those among them that it does not hear.
+        unheard: ids of those among them that it receives nothing from.
     """
 
     __slots__ = (
@@ -44,15 +44,14 @@
 
 
 class Heartbeat(Record):
-    """Regularly: all counts, and the versions of the tables that are copied.
+    """Sent periodically: all counts, and the versions of the copied tables.
 
     Attributes:
         counts: target, online requests, items, and the latest due item.
         versions: newest change by table.
         leaving: the instance takes no new work.
         store_reached: the store answers it.
-        lengths: what is known of how long runs take: service, and what
-            :meth:`RunLengths.told` takes.
+        lengths: how long runs take: service, and what :meth:`RunLengths.told` takes.
     """
 
     __slots__ = ("counts", "leaving", "lengths", "store_reached", "versions")
@@ -73,7 +72,7 @@
 
 
 class Alive(Record):
-    """The speaker lives, and what it last told still holds."""
+    """The sender is alive, and what it last sent still holds."""
 
     __slots__ = ()
 
@@ -88,7 +87,7 @@
 
 
 class TableNews(Record):
-    """The speaker's copy of ``table`` has a change of ``version``."""
+    """The sender's copy of ``table`` has a change of ``version``."""
 
     __slots__ = ("table", "version")
 
@@ -98,7 +97,7 @@
 
 
 class TableAsk(Record):
-    """Asks for the speaker's whole copy of ``table``."""
+    """Asks for the sender's whole copy of ``table``."""
 
     __slots__ = ("table",)
 
@@ -118,14 +117,14 @@
 
 
 class TableChanges(Record):
-    """All changes of ``table`` after ``since`` up to ``version``, as the speaker read.
+    """All changes of ``table`` after ``since`` up to ``version``, read by the sender.
 
     Attributes:
         table: name.
         since: version.
         version: of the newest.
         rows: part, key, value, version and whether it was removed, of each.
-        after_outage: entries may have lapsed while the store was away.
+        after_outage: entries may have lapsed while the store was unreachable.
     """
 
     __slots__ = ("after_outage", "rows", "since", "table", "version")
@@ -146,13 +145,13 @@
 
 
 class JobNews(Record):
-    """How far a job is.
+    """Progress of a job.
 
     Attributes:
         job: id.
-        holder: incarnation that works on it; empty if it was given up.
+        holder: incarnation that works on it; empty if it was released.
         listed: results in the store.
-        cancelled: its caller ended it.
+        cancelled: its caller cancelled it.
     """
 
     __slots__ = ("cancelled", "holder", "job", "listed")
@@ -167,10 +166,10 @@
 
 
 class StoreAsk(Record):
-    """Asks to call the store for an instance that it turns away.
+    """Asks to call the store for an instance that cannot reach it.
 
     Attributes:
-        number: that the answer carries.
+        number: request number, repeated in the answer.
         call: name of a method of the store.
         arguments: of that method, in order.
     """
@@ -184,7 +183,7 @@
 
 
 class StoreAnswer(Record):
-    """What the store answered; ``outcome`` names the type, ``fields`` holds it."""
+    """The store's answer; ``outcome`` names its type, ``fields`` holds its values."""
 
     __slots__ = ("fields", "number", "outcome")
 
@@ -195,7 +194,7 @@
 
 
 class SlotWants(Record):
-    """Items that the speaker could start: service, how many, when the first is due."""
+    """Items the sender could start: service, how many, when the first is due."""
 
     __slots__ = ("wants",)
 
@@ -204,7 +203,7 @@
 
 
 class SlotGrant(Record):
-    """The hearer may start one item at ``target``."""
+    """The receiver may start one item at ``target``."""
 
     __slots__ = ("target",)
 
@@ -213,9 +212,9 @@
 
 
 class SlotDecline(Record):
-    """The speaker does not use the slot it was granted at ``target``.
+    """The sender does not use the slot it was granted at ``target``.
 
-    ``full`` if by what it knows there is none, rather than that it has no item.
+    ``full`` if by its counts no slot is free, rather than that it has no item.
     """
 
     __slots__ = ("full", "target")
@@ -226,7 +225,7 @@
 
 
 class SlotRecall(Record):
-    """So many of the hearer's items at ``target`` have to give way."""
+    """The receiver must preempt ``count`` of its items at ``target``."""
 
     __slots__ = ("count", "target")
 
@@ -236,7 +235,7 @@
 
 
 class UnownedRuns(Record):
-    """Runs at ``target`` that no live instance knows of."""
+    """Orphaned runs at ``target``: no live instance knows them."""
 
     __slots__ = ("count", "target")
 
@@ -246,7 +245,7 @@
 
 
 class TargetEnded(Record):
-    """A target ended, and the speaker lost runs with it.
+    """A target crashed, and the sender lost runs with it.
 
     Attributes:
         target: its id.
@@ -261,7 +260,7 @@
 
 
 class SoundRuns(Record):
-    """Requests that ended no target: content, caller, and how many seconds ago."""
+    """Requests that crashed no target: content, caller, and how many seconds ago."""
 
     __slots__ = ("runs",)
 
@@ -270,12 +269,12 @@
 
 
 class Suspects(Record):
-    """What the speaker holds against requests, first on each connection.
+    """The suspect requests the sender knows, first on each connection.
 
     Attributes:
-        suspects: of each the content, its ends (target, caller, age of the run, its
-            events, seconds ago, who told) and its hold: callers, seconds since, trials
-            and seconds until it may be tried again; empty if it is not held.
+        suspects: of each the content, its crashes (target, caller, age of the run, its
+            events, seconds ago, who reported it) and its hold: callers, seconds since,
+            trials and seconds until the next trial; empty if it is not held.
     """
 
     __slots__ = ("suspects",)
@@ -285,10 +284,10 @@
 
 
 class Relay(Record):
-    """Asks a contact to pass a message on in its availability zone.
+    """Asks a contact to relay a message in its availability zone.
 
     Attributes:
-        to: instance that it is for; empty for all of the zone, the contact included.
+        to: receiver; empty for all of the zone, the contact included.
         body: of the frame of the message.
     """
 
@@ -300,7 +299,7 @@
 
 
 class Relayed(Record):
-    """Messages of instances elsewhere: instance, incarnation and body of each."""
+    """Messages of far instances: instance, incarnation and body of each."""
 
     __slots__ = ("messages",)
 
@@ -309,11 +308,11 @@
 
 
 class RelayedHeartbeats(Record):
-    """What instances elsewhere last said of themselves.
+    """The last heartbeats of far instances.
 
     Attributes:
-        heartbeats: instance, incarnation, address, availability zone, whether it
-            leaves, whether the store answers it, and counts as in :class:`Heartbeat`.
+        heartbeats: instance, incarnation, address, availability zone, whether it is
+            leaving, whether it reaches the store, and counts as in :class:`Heartbeat`.
     """
 
     __slots__ = ("heartbeats",)
@@ -323,7 +322,7 @@
 
 
 class MemberLost(Record):
-    """The connection of a peer of the speaker's zone ended, and nothing followed."""
+    """A peer of the sender's zone closed its connection and did not reconnect."""
 
     __slots__ = ("incarnation", "instance")
 
--- a/src/caperridge/gateway/mesh/paced_reading.py
+++ b/src/caperridge/gateway/mesh/paced_reading.py
@@ -1,8 +1,8 @@
-"""Reading the streams of all peers together while much comes on them.
+"""Batched reading of all peers' streams under load (interrupt coalescing).
 
-In a large fleet messages come a few milliseconds apart, each on a connection of its
-own. A turn of the event loop for each costs several times what its message does, so
-while they come that fast they are left for a moment and then read in one turn.
+In a large fleet messages arrive a few milliseconds apart, each on its own connection.
+An iteration of the event loop for each costs several times what the message does, so
+while they arrive that fast, reading is delayed and done for all in one iteration.
 """
 
 import asyncio
@@ -10,27 +10,27 @@
 import select
 from collections.abc import Callable
 
-# How long a message may wait that comes soon after another. Those that come 5 ms apart,
-# as in a zone of 21 instances, then need a quarter of the turns. A slot is asked for,
-# granted and used by three messages, within the 80 ms that a grant holds; and whoever
-# places a request reads first.
+# Longest delay of a message that arrives soon after another. With messages 5 ms apart,
+# as in a zone of 21 instances, this takes a quarter of the iterations. A slot is
+# requested, granted and used by three messages within the 80 ms that a grant lasts, and
+# the placement of a request reads first.
 READ_INTERVAL_S = 0.02
 READ_BYTES = 256 * 2**10
-# Messages of 20 ms have some kilobytes together; a read of this size is a part of a
-# message so large that waiting between its parts would add up.
+# Messages of 20 ms add up to some kilobytes; a read of this size is part of a message
+# so large that delays between its parts would add up.
 LARGE_READ_BYTES = 32 * 2**10
 
 DataCallback = Callable[[bytes], None]
 
 
 class PacedReader:
-    """Reads connections that the event loop does not watch itself.
+    """Reads connections in place of the event loop.
 
     Attributes:
-        read_at: when it last began to read, on the loop's clock.
+        last_read_at: when the last read began, on the loop's clock.
 
     Args:
-        after: called after connections were read.
+        after_read: called after connections were read.
     """
 
     def __init__(self, after_read: Callable[[], None]) -> None:
@@ -41,7 +41,7 @@
         self._callbacks_by_descriptor: dict[int, DataCallback] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._reading = False
-        self._large = False  # whether something large was read last
+        self._large = False  # whether the last read included a large one
         self._loop.add_reader(self._poll.fileno(), self._on_readable)
 
     def close(self) -> None:
@@ -53,28 +53,28 @@
         self._poll.close()
 
     def add(self, descriptor: int, callback: DataCallback) -> None:
-        """Have ``received`` called with what comes; with nothing at the end.
+        """Call ``callback`` with what is received; with no bytes at the end.
 
         Args:
-            descriptor: of a connection that does not block.
-            callback: called with each read.
+            descriptor: of a non-blocking connection.
+            callback: called with the bytes of each read.
         """
         self._callbacks_by_descriptor[descriptor] = callback
         self._poll.register(descriptor, select.EPOLLIN)
 
     def remove(self, descriptor: int) -> None:
-        """Read a connection no more."""
+        """Stop reading a connection."""
         known = self._callbacks_by_descriptor.pop(descriptor, None) is not None
         if known and not self._poll.closed:
             self._poll.unregister(descriptor)
 
     def read_now(self) -> None:
-        """Read what waits, for who is about to act on it."""
+        """Read what has arrived, for a caller that is about to act on it."""
         if self._timer is not None and not self._reading:
             self._read()
 
     def _on_readable(self) -> None:
-        """Read what came after a rest; leave what comes next if the rest was short."""
+        """Read; delay the next read if the last one was within the interval."""
         idle_s = self._loop.time() - self.last_read_at
         self._read()
         if idle_s < READ_INTERVAL_S and not self._large:
@@ -82,14 +82,14 @@
             self._timer = self._loop.call_later(READ_INTERVAL_S, self._read_on_timer)
 
     def _read_on_timer(self) -> None:
-        """Read what came meanwhile; have the loop watch again if that was nothing.
+        """Read what arrived meanwhile; return to the event loop if that was nothing.
 
-        It also watches while a large message comes.
+        The event loop also takes over while a large message arrives.
         """
         received = True
         try:
             received = self._read()
-        finally:  # whatever fails here, peers are heard again
+        finally:  # peers must be read again whatever fails here
             if received and not self._large:
                 self._timer = self._loop.call_later(
                     READ_INTERVAL_S, self._read_on_timer
@@ -99,7 +99,7 @@
                 self._loop.add_reader(self._poll.fileno(), self._on_readable)
 
     def _read(self) -> bool:
-        """Read each connection on which something came; return whether one did."""
+        """Read each connection that has data; return whether one had."""
         self.last_read_at = self._loop.time()
         self._large = False
         ready = self._poll.poll(0)
--- a/src/caperridge/gateway/mesh/relay.py
+++ b/src/caperridge/gateway/mesh/relay.py
@@ -1,8 +1,8 @@
-"""Messages to and from other availability zones, by way of contacts.
+"""Relaying of messages between availability zones through contacts.
 
-An instance sends to its contacts only; each passes on to the peers of its own zone what
-is for them. Signs of life are gathered and passed on with the contact's own beat, all
-else at once. A message is passed on once, so it cannot go in circles.
+An instance sends only to its contacts; each relays to the peers of its own zone what is
+meant for them. Heartbeats are collected and relayed with the contact's own, all other
+messages at once. A message is relayed once, so it cannot loop.
 """
 
 import asyncio
@@ -27,16 +27,16 @@
 
 log = logger(__name__)
 
-# A process that stands still goes on accepting bytes, so only its silence shows.
+# A stalled process still accepts bytes, so only its silence shows the stall.
 CONTACT_FRESHNESS_S = 1.5
-# One of the peers that report a loss elsewhere may be lost itself.
+# One of the peers that report a loss to other zones may be lost itself.
 LOSS_REPORTERS = 2
-# Contacts may still relay heartbeats of a life whose end was reported.
+# Contacts may still relay heartbeats of an incarnation whose loss was reported.
 STALE_HEARTBEAT_S = 1.0
 
 
 class RelayedMesh(Protocol):
-    """What of the mesh is used here."""
+    """The part of the mesh that the relay uses."""
 
     instance: str
     roster: Roster
@@ -75,11 +75,11 @@
 
 
 class ZoneRelay:
-    """One instance's part in what goes between availability zones.
+    """Relays between this instance's availability zone and the others.
 
     Args:
-        mesh: hears and sends.
-        dialers: keep streams to contacts.
+        mesh: sends and receives.
+        dialers: maintain the streams to contacts.
     """
 
     def __init__(self, mesh: RelayedMesh, dialers: Dialers) -> None:
@@ -92,7 +92,7 @@
         self._last_heartbeat_by_instance: dict[str, list] = {}
 
     def register(self) -> None:
-        """Have the mesh hand over what is to be passed on."""
+        """Register the handlers of relayed messages with the mesh."""
         self._mesh.register(Relay, self._relay_requested)
         self._mesh.register(Relayed, self._receive_relayed)
         self._mesh.register(RelayedHeartbeats, self._receive_heartbeats)
@@ -100,10 +100,10 @@
         self._mesh.on_messages_received(self._flush)
         self._mesh.on_lost(self._discard_last_heartbeat)
 
-    # What this instance says elsewhere.
+    # From this instance to other zones.
 
     def contacts(self, all_contacts: bool) -> list[Member]:
-        """Return one connected contact of each zone, another in turn, or all."""
+        """Return one connected contact per zone in rotation, or all of them."""
         self._rotation += 1
         chosen: list[Member] = []
         for zone in self._dialers.contacts_by_zone:
@@ -115,15 +115,15 @@
         return chosen
 
     def send(self, member: Member, message: Record) -> bool:
-        """Have ``message`` passed on to one instance; False if there is no way."""
+        """Relay ``message`` to one instance; False if no contact is connected."""
         return self._send(member.zone, member.id, message)
 
     def send_zone(self, zone: str, message: Record) -> None:
-        """Have ``message`` passed on to all instances of another zone."""
+        """Relay ``message`` to all instances of another zone."""
         self._send(zone, "", message)
 
     def send_everywhere(self, message: Record) -> None:
-        """Have ``message`` passed on in all other zones, by each contact."""
+        """Relay ``message`` to all other zones, through every contact."""
         contacts = self.contacts(all_contacts=True)
         if not contacts:
             return
@@ -132,9 +132,9 @@
             self._mesh.send(contact.id, relay)
 
     def report_lost(self, member: Member) -> None:
-        """Say elsewhere that a near peer is lost, if that falls to this instance."""
+        """Report a lost near peer to other zones if this instance is a reporter."""
         if not self._roster.large:
-            return  # nobody is far
+            return  # no peer is far
         near = [one for one in self._roster.near() if one.lost_at is None]
         own = score(member.id, self._mesh.instance)
         ahead = sum(1 for one in near if score(member.id, one.id) > own)
@@ -148,7 +148,7 @@
         return self._mesh.send(contact.id, Relay(to, encode_body(message)))
 
     def _best_contact(self, zone: str) -> Member | None:
-        """Return the contact of a zone that is asked; None if none is connected."""
+        """Return the contact of a zone to send to; None if none is connected."""
         connected = self._connected_contacts(zone)
         since = asyncio.get_running_loop().time() - CONTACT_FRESHNESS_S
         for contact in connected:
@@ -163,10 +163,10 @@
             if self._dialers.stream_to(contact) is not None
         ]
 
-    # What this instance passes on in its zone.
+    # From other zones to the peers of this one.
 
     def message_received(self, member: Member, message: Record) -> None:
-        """Gather what a far instance said of itself, to be passed on."""
+        """Collect the heartbeat of a far instance, to be relayed."""
         if self._roster.is_near(member):
             return
         self._discard_last_heartbeat(member)
@@ -186,17 +186,17 @@
             self.relay_heartbeats()
 
     def relay_heartbeats(self) -> None:
-        """Tell near peers what was gathered."""
+        """Send near peers the heartbeats that were collected."""
         if not self._heartbeats_by_instance:
             return
         heartbeats = list(self._heartbeats_by_instance.values())
         self._heartbeats_by_instance.clear()
         self._mesh.send_near(RelayedHeartbeats(heartbeats))
 
-    def _relay_requested(self, speaker: str, relay: Relay) -> None:
-        """Pass on what a far instance sent by way of this one."""
-        member = self._roster.members_by_id[speaker]
-        entry = [speaker, member.incarnation, relay.body]
+    def _relay_requested(self, sender: str, relay: Relay) -> None:
+        """Relay what a far instance sent through this one."""
+        member = self._roster.members_by_id[sender]
+        entry = [sender, member.incarnation, relay.body]
         if relay.to and relay.to != self._mesh.instance:
             self._mesh.send(relay.to, Relayed([entry]))
             return
@@ -205,24 +205,24 @@
             self._pending.append(entry)
 
     def _flush(self) -> None:
-        """Pass on what was heard in one turn, in one message."""
+        """Relay what was received together in one message."""
         if not self._pending:
             return
         gathered, self._pending = self._pending, []
         self._mesh.send_near(Relayed(gathered))
 
-    # What others pass on.
+    # What contacts relay to this instance.
 
     def _receive_relayed(self, contact: str, relayed: Relayed) -> None:
         for entry in relayed.messages:
             self._deliver(entry)
 
     def _deliver(self, entry: list) -> None:
-        """Have a message of a far instance handled as if it had come from it."""
+        """Handle a far instance's message as if it had been received directly."""
         instance, incarnation, body = entry
         member = self._roster.members_by_id.get(instance)
         if member is None or member.incarnation != incarnation:
-            return  # of a life that is over, or of which nothing was heard yet
+            return  # of an earlier incarnation, or of one that is not known yet
         try:
             message = decode(body)
         except MessageError as error:
@@ -238,7 +238,7 @@
             instance = heartbeat[0]
             member = self._roster.members_by_id.get(instance)
             if member is not None and self._is_unchanged(member, heartbeat):
-                # Most do, and there are some hundred a second.
+                # True of most, and some hundred arrive each second.
                 member.last_received_at = member.listed_at = now
                 continue
             incarnation, address, zone, leaving, reached, counts, *_ = heartbeat[1:]
@@ -249,7 +249,7 @@
             self._mesh.dispatch(member, Heartbeat(counts, {}, leaving, reached))
 
     def _is_unchanged(self, member: Member, heartbeat: list) -> bool:
-        """Whether a far member that is heard says what it said before."""
+        """Whether a far member is alive and its heartbeat repeats the last one."""
         return (
             member.lost_at is None
             and member.incarnation == heartbeat[1]
@@ -257,13 +257,13 @@
         )
 
     def _discard_last_heartbeat(self, member: Member) -> None:
-        """Have the next sign of life of a member handled whole."""
+        """Have the next heartbeat of a member handled in full."""
         self._last_heartbeat_by_instance.pop(member.id, None)
 
     def _record_alive(
         self, instance: str, incarnation: str, address: str, zone: str
     ) -> Member | None:
-        """Note a sign of life; return whose it is, or None if it says nothing."""
+        """Record a heartbeat; return its member, or None if it is to be ignored."""
         if instance == self._mesh.instance:
             return None
         self._mesh.learn(instance, address, zone)
@@ -278,11 +278,11 @@
         self._mesh.mark_alive(member)
         return member
 
-    def _member_lost(self, speaker: str, news: MemberLost) -> None:
-        member = self._roster.members_by_id.get(news.instance)
+    def _member_lost(self, sender: str, report: MemberLost) -> None:
+        member = self._roster.members_by_id.get(report.instance)
         if member is None or self._roster.is_near(member):
             return
-        if member.incarnation != news.incarnation or member.lost_at is not None:
+        if member.incarnation != report.incarnation or member.lost_at is not None:
             return
         member.reported_lost_at = asyncio.get_running_loop().time()
         self._mesh.mark_lost(member, "its zone lost it")
--- a/src/caperridge/gateway/mesh/roster.py
+++ b/src/caperridge/gateway/mesh/roster.py
@@ -1,11 +1,11 @@
-"""The members of the mesh: who is known, who is heard from, who is near."""
+"""The roster of the mesh: which members are known, alive and near."""
 
 from caperridge.decisions.rendezvous import score
 from caperridge.gateway.mesh.member import Member
 
-# Up to so many peers form a full mesh. Beyond, streams lead to all peers of the own
-# availability zone and to a few contacts in each other one, so that what an instance
-# sends and hears grows with its zone and not with the whole system.
+# Up to this many peers form a full mesh. With more, streams lead to all peers of the
+# own availability zone and to a few contacts in each other one, so that what an
+# instance sends and receives grows with its zone and not with the whole system.
 MAX_FULL_MESH_PEERS = 16
 
 
@@ -13,8 +13,8 @@
     """All other instances that are known.
 
     Attributes:
-        members_by_id: all of them, also those that are not heard from.
-        changes: counts what changes who is heard from, who leaves and who is where.
+        members_by_id: all of them, lost ones included.
+        changes: count of changes of who is alive, who is leaving and where members are.
 
     Args:
         instance: own id.
@@ -38,7 +38,7 @@
         return len(self.members_by_id) > MAX_FULL_MESH_PEERS
 
     def is_near(self, member: Member) -> bool:
-        """Whether a stream leads to a peer whatever its rank, for all there is."""
+        """Whether a peer has a stream in any case, and is sent every message."""
         return member.zone == self._zone or not self.large
 
     def near(self) -> list[Member]:
@@ -56,12 +56,12 @@
         return [one for one in members if not self.is_near(one)]
 
     def alive(self) -> list[Member]:
-        """Return the members that are heard from."""
+        """Return the members that are alive."""
         self._refresh_alive()
         return self._alive
 
     def incarnation_alive(self, incarnation: str) -> bool:
-        """Whether this life of a peer is heard from."""
+        """Whether this incarnation of a peer is alive."""
         self._refresh_alive()
         return incarnation in self._alive_incarnations
 
@@ -74,9 +74,9 @@
         self._alive_incarnations = frozenset(one.incarnation for one in self._alive)
 
     def learn(self, id: str, address: str, zone: str, now: float) -> bool:
-        """Take note of an instance that is listed somewhere; return if that was news.
+        """Record an instance that is listed; return whether that changed anything.
 
-        Where a member is said to be is believed only while it is not heard from.
+        A member that is alive keeps the location that it sent itself.
         """
         member = self.members_by_id.get(id)
         if member is None:
@@ -93,14 +93,14 @@
         return True
 
     def set_leaving(self, id: str, leaving: bool) -> None:
-        """Note whether a member takes no new work."""
+        """Record whether a member takes no new work."""
         member = self.members_by_id.get(id)
         if member is not None and member.leaving != leaving:
             member.leaving = leaving
             self.changes += 1
 
     def set_store_reached(self, id: str, reached: bool) -> bool:
-        """Note whether the store answers a member; return if that was news."""
+        """Record whether a member reaches the store; return whether that changed."""
         member = self.members_by_id.get(id)
         if member is None or member.store_reached == reached:
             return False
@@ -109,6 +109,6 @@
         return True
 
     def remove(self, member: Member) -> None:
-        """Drop a member that is long gone."""
+        """Remove a member that has been lost for long."""
         del self.members_by_id[member.id]
         self.changes += 1
--- a/src/caperridge/gateway/mesh/streams.py
+++ b/src/caperridge/gateway/mesh/streams.py
@@ -1,8 +1,8 @@
-"""Frames of messages over one connection: one end speaks, the other hears.
+"""One-way message streams: framed messages over TCP connections between instances.
 
-Both are protocols rather than tasks with streams: a fleet of sixty exchanges thousands
-of small messages a second, and waking a task for each cost most of an idle instance's
-processor time.
+Both ends are protocols rather than tasks with streams: a fleet of sixty exchanges
+thousands of small messages a second, and waking a task for each took most of an idle
+instance's processor time.
 """
 
 import asyncio
@@ -20,14 +20,13 @@
 log = logger(__name__)
 
 CONNECT_TIMEOUT_S = 0.5
-# What a peer's system did not acknowledge for so long went into a silent connection.
-# Near peers hear something every 0.7 s and are lost after 1.5 s; a stream that fell
-# silent is replaced before. Systems acknowledge at once, also for slow processes.
+# A connection is closed when the peer's system acknowledges nothing for this long. Near
+# peers get something every 0.7 s and are lost after 1.5 s, so a dead stream is replaced
+# before that. Systems acknowledge at once, also for slow processes.
 USER_TIMEOUT_MS = 600
-# What may wait for a peer that does not read, before another message is taken; one may
-# be as large as an object of the store. Beyond, messages are dropped; a peer that lags
-# so far hears the whole state from the next heartbeat it reads. Sixty peers of a zone
-# that is cut off hold 15 MB of a process then.
+# Bytes that may wait for a slow peer before a message is dropped; one message may be as
+# large as an object of the store. A peer that lags so far gets the whole state with the
+# next heartbeat it reads. Sixty peers of a zone that is cut off then hold 15 MB here.
 MAX_PENDING_BYTES = 256 * 2**10
 
 
@@ -43,17 +42,17 @@
 
 
 def decode(body: bytes) -> Record | None:
-    """Return the message in the body of a frame; None if its kind is not known.
+    """Return the message in the body of a frame; None if its kind is unknown.
 
-    Fields beyond those known are dropped: another release may have sent them.
+    Unknown fields at the end are dropped: a newer release may have sent them.
 
     Raises:
-        MessageError: it is no message.
+        MessageError: the body is not a valid message.
     """
     try:
         name, *fields = unpack(body)
     except (ValueError, TypeError) as error:
-        raise MessageError("a frame holds no list") from error
+        raise MessageError("the body of a frame is not a list") from error
     kind = KINDS_BY_NAME.get(name)
     if kind is None:
         return None
@@ -66,31 +65,31 @@
 
 @functools.cache
 def _fields(kind: type[Record]) -> list[str]:
-    """Return the fields as the constructor takes them; new ones come last."""
+    """Return the fields in constructor order; new ones are added at the end."""
     return list(inspect.signature(kind).parameters)
 
 
 class OutStream(asyncio.Protocol):
-    """Keeps a connection to one peer and sends to it.
+    """Connects to one peer and sends to it.
 
     Args:
         address: ``IP:PORT`` of the peer.
-        hello: makes the first message of each connection.
+        hello: returns the first message of each connection.
     """
 
     def __init__(self, address: str, hello: Callable[[], Record]) -> None:
         self.address = address
         self.connected = False
-        self.opened_at = 0.0  # of the connection that there is, on the loop's clock
+        self.opened_at = 0.0  # of the present connection, on the loop's clock
         self.dropped = 0
-        self.last_sent_at = float("-inf")  # by the loop's clock
+        self.last_sent_at = float("-inf")  # on the loop's clock
         self._hello = hello
         self._transport: asyncio.Transport | None = None
         self._closed = asyncio.Event()
         self._time = asyncio.get_running_loop().time
 
     def send(self, data: bytes) -> bool:
-        """Send one frame; False, and counted, if there is no room or connection."""
+        """Send one frame; False, and counted, if there is no connection or room."""
         transport = self._transport
         if not self.connected or transport is None:
             return False
@@ -102,11 +101,11 @@
         return True
 
     async def run_once(self) -> None:
-        """Connect, and stay until the connection ends.
+        """Connect, and wait until the connection is closed.
 
         Raises:
-            OSError: there is no connection.
-            TimeoutError: the peer does not answer.
+            OSError: the connection failed.
+            TimeoutError: the peer did not answer.
         """
         host, _, port = self.address.rpartition(":")
         loop = asyncio.get_running_loop()
@@ -135,18 +134,18 @@
         self._closed.set()
 
     def close(self) -> None:
-        """End the connection, if there is one; another is opened soon."""
+        """Close the connection, if there is one; the dialer opens another."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class InStream(asyncio.Protocol):
-    """Hears what one peer says on a connection that it opened.
+    """Receives what one peer sends on a connection that it opened.
 
     Args:
         reader: reads the connection.
         on_message: called with the stream and each message.
-        on_closed: called with the stream when the connection has ended, and why.
+        on_closed: called with the stream and the reason when it is closed.
     """
 
     def __init__(
@@ -155,7 +154,7 @@
         on_message: Callable[["InStream", Record | None], None],
         on_closed: Callable[["InStream", str], None],
     ) -> None:
-        # Set by who listens: which life of which instance speaks here.
+        # Sender of this stream, set by the mesh after the hello.
         self.instance = ""
         self.incarnation = ""
         self._reader = reader
@@ -175,7 +174,7 @@
         self._reader.add(self._descriptor, self._received)
 
     def _received(self, data: bytes) -> None:
-        """Take what the connection brought; nothing is its end."""
+        """Handle received bytes; none means the end of the connection."""
         if not data:
             self.close()
             return
@@ -185,9 +184,9 @@
         except (FrameError, MessageError) as error:
             self._reason = str(error)
             self.close()
-        except Exception as error:  # as the loop does with a transport it reads itself
+        except Exception as error:  # as the event loop does for transports it reads
             self._reason = type(error).__name__
-            log.error("a message failed", exc_info=(type(error), error, None))
+            log.error("message handler failed", exc_info=(type(error), error, None))
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -197,7 +196,7 @@
         self._on_closed(self, self._reason)
 
     def close(self) -> None:
-        """End the connection; what has come on it and was not read is dropped."""
+        """Close the connection; bytes not read yet are dropped."""
         self._reader.remove(self._descriptor)
         if self._transport is not None:
             self._transport.abort()
--- a/src/caperridge/gateway/mesh/traffic.py
+++ b/src/caperridge/gateway/mesh/traffic.py
@@ -1,4 +1,4 @@
-"""How much is sent to peers, by kind of message and distance."""
+"""Traffic accounting: messages and bytes sent to peers, by kind and distance."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -28,7 +28,7 @@
         totals[1] += size
 
     def state(self) -> dict[str, Any]:
-        """Return all totals, for people."""
+        """Return all totals in readable form."""
         return {
             f"{kind} {distance}": {"messages": messages, "bytes": size}
             for (kind, distance), (messages, size) in self.totals_by_kind.items()
