--- a/src/caperridge/gateway/answer_limits.py
+++ b/src/caperridge/gateway/answer_limits.py
@@ -1,4 +1,4 @@
-"""Until when answers may take: each has its own time, and a stop ends them all."""
+"""Deadlines of answers: each has its own, and a planned stop caps all of them."""
 
 import asyncio
 import contextlib
@@ -7,11 +7,12 @@
 
 
 class AnswerLimits:
-    """Limits of what is being answered now, and of what will be.
+    """The deadlines of answers in progress and of future ones.
 
     Attributes:
-        until: when the last answer must have been given, on the loop's clock.
-        careful_from: from when on nothing is begun that may last longer than that.
+        deadline: when the last answer must be complete, on the event loop's clock.
+        reject_long_from: from when on, by the same clock, no request is started that
+            may take longer than that.
     """
 
     def __init__(self) -> None:
@@ -21,10 +22,10 @@
 
     @contextlib.asynccontextmanager
     async def within(self, deadline: float = math.inf) -> AsyncIterator[None]:
-        """End the block with :class:`TimeoutError` when its time is over.
+        """End the block with :class:`TimeoutError` at its deadline.
 
         Args:
-            deadline: its own, on the loop's clock.
+            deadline: of this answer, on the event loop's clock.
         """
         async with asyncio.timeout(None) as limit:
             limit.reschedule(_when(min(deadline, self.deadline)))
@@ -35,7 +36,7 @@
                 self._running.discard(limit)
 
     def cap(self, until: float, careful_from: float = -math.inf) -> None:
-        """Bring forward whatever would end later, also what has begun already."""
+        """Cap the deadlines of all answers, including those in progress."""
         self.deadline = until
         self.reject_long_from = careful_from
         for limit in self._running:
--- a/src/caperridge/gateway/answer_relay.py
+++ b/src/caperridge/gateway/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passing a target's answer on to the caller, whole or event by event."""
+"""Relays a target's answer to the caller, buffered or event by event."""
 
 import asyncio
 import math
@@ -15,8 +15,8 @@
     WrongAnswer,
 )
 
-# A target with a free slot sends its first event after some 50 ms, one with a full
-# queue after some 500 ms; callers leave after 2 s of silence.
+# A target with a free slot sends its first event after about 50 ms, one with a full
+# queue after about 500 ms; callers disconnect after 2 s of silence.
 FIRST_EVENT_SILENCE_S = 1.2
 EVENT_SILENCE_S = 0.7
 EVENT_STREAM = "text/event-stream"
@@ -24,7 +24,11 @@
 
 
 class AnswerRelay:
-    """Passes answers on; one for an instance."""
+    """Relays answers; an instance has one.
+
+    Args:
+        metrics: counted into.
+    """
 
     def __init__(self, metrics: GatewayMetrics) -> None:
         self._metrics = metrics
@@ -36,7 +40,7 @@
         carriage: ForwardingState,
         answer: Answer,
     ) -> AttemptError | None:
-        """Pass ``answer`` on; None if it has gone out whole."""
+        """Relay ``answer``; return None if it was relayed completely."""
         kind = answer.headers.get("Content-Type", "").partition(";")[0].strip().lower()
         if answer.status == 200 and kind == EVENT_STREAM:
             return await self._relay_events(request, reply, carriage, answer)
@@ -114,9 +118,9 @@
 
 
 def _next_events(events: list[Event], carriage: ForwardingState) -> tuple[bytes, bool]:
-    """Return the events that come next, joined, and whether one did not.
+    """Return the events in sequence, joined, and whether one was out of sequence.
 
-    An event without a number is passed on as it is.
+    Events without a number are relayed unchecked.
     """
     good: list[bytes] = []
     for event in events:
--- a/src/caperridge/gateway/dialect.py
+++ b/src/caperridge/gateway/dialect.py
@@ -1,7 +1,7 @@
-"""What the gateway has to know of a wire dialect; the adapter says it.
+"""The interface of wire dialects, implemented by an adapter.
 
-The gateway passes requests on as they came. The few headers it reads or sets, and the
-forms of configuration, targets and jobs, are named here and given by the adapter.
+The gateway forwards requests unchanged. The adapter defines the few headers that the
+gateway reads or sets, and the formats of configuration, targets and jobs.
 """
 
 from abc import ABC, abstractmethod
@@ -16,16 +16,16 @@
 
 
 class HeaderNames(Record):
-    """Headers that the gateway reads or sets.
+    """Names of the headers that the gateway reads or sets.
 
     Attributes:
-        request: id of a request, at callers and targets.
-        deadline: what is left of the time the caller waits, in ms.
-        incarnation: id of the target that alone may run a request.
-        not_run: in an answer of a target: it has not run the request.
-        signature: of the target that made an answer.
+        request: id of a request, from callers and to targets.
+        deadline: remaining time that the caller waits, in ms.
+        incarnation: id of the only target that may run the request.
+        not_run: in an answer of a target: the request was not run.
+        signature: of the target that sent an answer.
         resume: number of the last event that was received.
-        wait: how long a read of results may be held, in ms.
+        wait: how long a read of results may wait for new ones, in ms.
     """
 
     __slots__ = (
@@ -58,13 +58,13 @@
 
 
 class JobsPaths(Record):
-    """Where callers read jobs and bodies; the last part of a path is the job's id.
+    """Paths of jobs and bodies; the last part of a path is the id of the job.
 
     Attributes:
-        jobs: prefix of the path of a job's results, and of its cancellation.
-        bodies: prefix of the path of a job's bodies.
-        position: parameter with the first position wanted.
-        item: parameter with the id of the item whose body is wanted.
+        jobs: path prefix of a job's results, and of its cancellation.
+        bodies: path prefix of the bodies of a job.
+        position: query parameter with the first requested position.
+        item: query parameter with the id of the item whose body is requested.
     """
 
     __slots__ = ("bodies", "item", "jobs", "position")
@@ -77,14 +77,24 @@
 
 
 class DecodeError(Exception):
-    """Bytes from outside that cannot be what they should be."""
+    """Received data is not in the expected format."""
 
 
 class Dialect(ABC):
-    """Decodes and encodes what callers, operators and targets exchange."""
+    """Decodes and encodes the messages of callers, operators and targets.
+
+    Attributes:
+        headers: names of headers.
+        per_attempt_headers: lower-case names of headers whose value may differ between
+            a caller's tries of one request.
+        paths: of jobs and bodies.
+        configuration_table: table of the store that holds the configuration.
+        configuration_key: key of its row.
+        targets_table: table of the store that lists the targets.
+        load_path: path at which a target reports its load.
+    """
 
     headers: HeaderNames
-    # Lower-case names of what a caller may send otherwise at each try of one request.
     per_attempt_headers: frozenset[str]
     paths: JobsPaths
     configuration_table: str
@@ -97,7 +107,7 @@
         """Return the configuration in a row's value.
 
         Raises:
-            DecodeError: it holds none.
+            DecodeError: the value is no valid configuration.
         """
 
     @abstractmethod
@@ -109,46 +119,46 @@
             value: of the row.
 
         Raises:
-            DecodeError: it names no target to use; says everything that is wrong.
+            DecodeError: the value is no valid target; lists all findings.
         """
 
     @abstractmethod
     def load(self, body: bytes) -> TargetLoad:
-        """Return how many requests run or wait at a target, as it says.
+        """Return the load in a target's report.
 
         Raises:
-            DecodeError: it does not say.
+            DecodeError: the report is invalid.
         """
 
     @abstractmethod
     def job(self, body: bytes) -> JobRequest:
-        """Return the job that a caller sends.
+        """Return the job in the body of a caller's request.
 
         Raises:
-            DecodeError: it is no job.
+            DecodeError: the body is no valid job.
         """
 
     @abstractmethod
     def results(self, page: ResultsPage) -> bytes:
-        """Return the answer to a read of results."""
+        """Return the body of the answer to a read of results."""
 
     @abstractmethod
     def client_error_not_run(self, status: int, headers: Mapping[str, str]) -> bool:
-        """Whether an answer of a target promises that it did not run the request."""
+        """Whether an answer of a target states that it did not run the request."""
 
     @abstractmethod
     def from_another_target(self, status: int) -> bool:
-        """Whether the answer comes from another target than was meant."""
+        """Whether the answer was sent by another target than the addressed one."""
 
 
 def end_to_end_headers(
     headers: CIMultiDict[str], own: frozenset[str]
 ) -> CIMultiDict[str]:
-    """Return ``headers`` without those of one connection and without ``own``.
+    """Return ``headers`` without hop-by-hop headers and without ``own``.
 
     Args:
-        headers: as they came.
-        own: lower-case names that the gateway sets itself.
+        headers: as received.
+        own: lower-case names of headers that the gateway sets itself.
 
     >>> head = CIMultiDict({"Connection": "x-a", "X-A": "1", "X-B": "2", "Te": "t"})
     >>> list(end_to_end_headers(head, frozenset()))
@@ -168,7 +178,7 @@
     return kept
 
 
-# RFC 9110, 7.6.1, and the framing that each connection has of its own.
+# RFC 9110, section 7.6.1, and the message framing, which is per connection.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
--- a/src/caperridge/gateway/edge.py
+++ b/src/caperridge/gateway/edge.py
@@ -1,4 +1,4 @@
-"""The listener for callers: requests, jobs, and reads of their results."""
+"""The HTTP front end for callers: online requests, jobs, and reads of their results."""
 
 import asyncio
 import itertools
@@ -24,11 +24,11 @@
 
 log = logger(__name__)
 
-# Sent while the configuration is not known yet.
+# Sent while no configuration has been read yet.
 STARTING_RETRY_AFTER_S = 0.5
-# Ids of jobs stand in paths, keys and names of objects, of 200 bytes at most.
+# Job ids are part of paths, keys and object names, which have at most 200 bytes.
 JOB_ID = re.compile(r"[A-Za-z0-9._~-]{1,100}")
-# No request for so long while leaving: callers have gone elsewhere.
+# While draining, no request for this long means that callers use other instances.
 QUIET_S = 0.7
 QUIET_LOOK_S = 0.05
 BODY_LIMIT_BYTES = 64 * 2**20
@@ -38,9 +38,9 @@
     """A request that is being answered.
 
     Attributes:
-        id: as the caller gave it; empty if it gave none.
+        id: as the caller sent it; empty if it sent none.
         path: with the query.
-        arrived: when its head had come, on the loop's clock.
+        arrived: when its head was received, on the event loop's clock.
     """
 
     __slots__ = ("arrived", "id", "path")
@@ -52,19 +52,19 @@
 
 
 class Edge:
-    """Takes callers' requests to whoever serves them.
+    """Dispatches callers' requests by path and route.
 
     Attributes:
-        closing: callers are to go elsewhere.
-        hear_peers: called before a request is placed, so that counts are fresh.
+        closing: the instance drains; connections are closed after their answer.
+        read_peers: called before a request is placed, so that counts are up to date.
 
     Args:
         configuration: in force.
-        forwarder: for online requests.
-        jobs: for jobs and reads.
+        forwarder: serves online requests.
+        jobs: serves jobs and reads of results.
         dialect: names of headers and paths.
         metrics: counted into.
-        limits: of answers.
+        limits: deadlines of answers.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         return len(self._running_by_number)
 
     def log_cut(self) -> None:
-        """Log each request that still runs when the instance ends."""
+        """Log each request that is still being answered when the instance stops."""
         now = asyncio.get_running_loop().time()
         for running in self._running_by_number.values():
             log.warning(
@@ -108,13 +108,13 @@
     def start_draining(
         self, answers_until: float, careful_from: float = -math.inf
     ) -> None:
-        """Have callers go elsewhere, and answer what they sent and still send in time.
+        """Close connections after their answer, and end all answers in time.
 
         Args:
-            answers_until: when the last answer must have been given, on the loop's
+            answers_until: when the last answer must be complete, on the event loop's
                 clock.
             careful_from: when the balancer has moved callers to other instances, so
-                that one who is refused is served at once.
+                that a refused caller is served there at once.
         """
         self.closing = True
         self._limits.cap(answers_until, careful_from)
@@ -122,8 +122,8 @@
     async def wait_until_quiet(self, from_time: float, until: float) -> None:
         """Wait until callers have stopped sending, ``from_time`` at the earliest.
 
-        Connections that are kept, or that clients open before the balancer has moved
-        them, may bring requests for a while; ``until`` is the end of patience.
+        Kept connections, and those opened before the balancer has moved the callers,
+        may still carry requests for a while; the wait ends at ``until`` in any case.
         """
         loop = asyncio.get_running_loop()
         while loop.time() < until:
@@ -134,7 +134,7 @@
             await asyncio.sleep(QUIET_LOOK_S)
 
     def application(self) -> web.Application:
-        """Return what serves all paths."""
+        """Return the application that serves all paths."""
         application = web.Application(client_max_size=BODY_LIMIT_BYTES)
         application.router.add_route("*", "/{path:.*}", self.handle)
         return application
@@ -181,7 +181,7 @@
             async with self._limits.within():
                 body = await request.read()
         except TimeoutError:
-            # Nobody has seen it, so its caller may send it to another instance.
+            # It was not forwarded, so the caller may send it to another instance.
             return self._refuse(request, 503, "its body has not come in time")
         if route.kind == BATCH:
             return await self._job(request, route, body, arrived)
@@ -250,7 +250,7 @@
         return self._given_up(request, given_up)
 
     def _age_s(self, route: Route, deadline_ms: str) -> float:
-        """Return how long the caller has been waiting since its first try."""
+        """Return how long the caller has waited since its first try, in seconds."""
         if not deadline_ms.isdigit():
             return 0.0
         ages = self._ages_by_route.setdefault(route.name, CallerAges())
@@ -357,7 +357,7 @@
 
 
 def _deadline_s(request: web.Request, name: str) -> float:
-    """Return how long the caller waits, in seconds; very long if it does not say."""
+    """Return how long the caller waits, in seconds; infinite if it does not say."""
     try:
         return float(request.headers[name]) / 1000
     except (KeyError, ValueError):
--- a/src/caperridge/gateway/events.py
+++ b/src/caperridge/gateway/events.py
@@ -1,4 +1,4 @@
-"""Cutting a stream of server-sent events into whole events with rising ids."""
+"""Incremental parser of server-sent events that preserves their bytes."""
 
 from caperridge.records import Record
 
@@ -9,11 +9,11 @@
 
 
 class Event(Record):
-    """One event.
+    """One server-sent event.
 
     Attributes:
         id: its number in the stream; -1 if it has none.
-        raw: as it came, with the blank line at its end.
+        raw: its bytes, including the blank line at the end.
     """
 
     __slots__ = ("id", "raw")
@@ -23,7 +23,7 @@
         self.raw = raw
 
     def data(self) -> bytes:
-        r"""Return the value of its data lines.
+        r"""Return the values of its data lines, joined by newlines.
 
         >>> Event(1, b"id: 1\ndata: a\ndata: b\n\n").data()
         b'a\nb'
@@ -36,7 +36,10 @@
 
 
 class EventSplitter:
-    r"""Takes bytes as they come and gives whole events.
+    r"""Splits received bytes into complete events.
+
+    Attributes:
+        rest: bytes of an event that is not complete yet.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\ndata: a")
@@ -57,13 +60,13 @@
         pending = self.rest + data if self.rest else data
         if b"\r" in pending:
             return self._feed_mixed(pending)
-        # One pass for all events, and no look at other line ends: this is done for
-        # each read of each stream.
+        # Runs for each read of each stream, so all events are split in one pass that
+        # ignores other line endings.
         *parts, self.rest = pending.split(_END)
         return [Event(_id_of(part), part + _END) for part in parts]
 
     def _feed_mixed(self, pending: bytes) -> list[Event]:
-        """Return whole events of a stream whose lines may end either way."""
+        """Return complete events of a stream with mixed line endings."""
         events: list[Event] = []
         while True:
             end = _end_of_event(pending)
@@ -76,7 +79,7 @@
 
 
 def _end_of_event(pending: bytes) -> int:
-    """Return the length of the first whole event; -1 if there is none."""
+    """Return the length of the first complete event; -1 if there is none."""
     ends: list[int] = []
     for mark in (_END, _END_CRLF):
         at = pending.find(mark)
--- a/src/caperridge/gateway/fields.py
+++ b/src/caperridge/gateway/fields.py
@@ -1,4 +1,4 @@
-"""Reading a map that somebody else wrote: each field typed, all findings together."""
+"""Validation of JSON objects from outside, reporting all findings together."""
 
 import ipaddress
 from typing import Any
@@ -12,17 +12,17 @@
 
 
 class Fields:
-    """The fields of one JSON map.
+    """The fields of one JSON object.
 
-    What is wrong with a field is noted, and reading goes on with a value of the type
-    asked for; :meth:`check` tells of everything at once.
+    An invalid field is recorded as a finding and read as a placeholder of the
+    requested type; :meth:`check` reports all findings at once.
 
     Args:
-        source: what the map is, for findings.
-        value: its bytes.
+        source: name of the object in findings.
+        value: the JSON text.
 
     Raises:
-        DecodeError: the bytes are no JSON map.
+        DecodeError: the bytes are not a JSON object.
     """
 
     __slots__ = ("_by_name", "_findings", "_source")
@@ -42,7 +42,7 @@
         return name in self._by_name
 
     def text(self, name: str) -> str:
-        """Return a text that is not empty."""
+        """Return a non-empty string."""
         value = self._by_name.get(name)
         if isinstance(value, str) and value:
             return value
@@ -58,7 +58,7 @@
         return words[0]
 
     def integer(self, name: str, least: int, most: int) -> int:
-        """Return a whole number from ``least`` to ``most``."""
+        """Return an integer from ``least`` to ``most``."""
         value = self._by_name.get(name)
         if type(value) is int and least <= value <= most:
             return value
@@ -82,10 +82,10 @@
         return ""
 
     def check(self) -> None:
-        """Tell what was wrong with the fields that were read.
+        """Report the findings in the fields that were read.
 
         Raises:
-            DecodeError: something was.
+            DecodeError: there are findings.
         """
         if self._findings:
             raise DecodeError("; ".join(str(finding) for finding in self._findings))
--- a/src/caperridge/gateway/fingerprint.py
+++ b/src/caperridge/gateway/fingerprint.py
@@ -1,8 +1,8 @@
-"""What a request asks for, told by a few bytes, so that its repeats are known again.
+"""Fingerprints of requests, by which repeats of one request are recognised.
 
-Each try of a caller has an id of its own. What stays the same is the content (method,
-host, path and body) and, as a rule, the headers that say for whom it is asked. Callers
-that are alike in all of them are one caller here: a balancer may hide their addresses.
+Each try of a caller has its own id. The content (method, host, path and body) stays the
+same, and usually so do the headers that identify the caller. Callers whose headers are
+all the same count as one, because a balancer may hide their addresses.
 """
 
 import hashlib
@@ -15,11 +15,11 @@
 
 
 class Fingerprint(Record):
-    """Of one request.
+    """The fingerprint of one request.
 
     Attributes:
-        content: of method, host, path and body, in hex.
-        caller: of the headers that a caller keeps from try to try, in hex.
+        content: hash of method, host, path and body, in hex.
+        caller: hash of the headers that a caller repeats at each try, in hex.
     """
 
     __slots__ = ("caller", "content")
@@ -40,11 +40,11 @@
     """Return the fingerprint of a request.
 
     Args:
-        method: of HTTP.
+        method: HTTP method.
         host: that it was sent to.
         path: with the query.
-        body: whole.
-        headers: those that are passed on.
+        body: the complete body.
+        headers: those that are forwarded.
         changing: lower-case names of headers that differ from try to try.
 
     >>> sent = [("X-Id", "1"), ("X-Team", "a")]
--- a/src/caperridge/gateway/fleet.py
+++ b/src/caperridge/gateway/fleet.py
@@ -1,4 +1,8 @@
-"""What this instance knows of the targets: list, counts and who can be reached."""
+"""The targets as this instance sees them: list, load, reachability and ejections.
+
+Implements outlier ejection; the limits per target are in
+:mod:`caperridge.decisions.ejection`.
+"""
 
 import random
 from collections.abc import Callable
@@ -12,30 +16,40 @@
 
 log = logger(__name__)
 
-# Callers give up after 5 s; a target that is back should serve them again by then.
+# Callers time out after 5 s; a target that has recovered should serve them by then.
 MAX_EJECTION_S = 4.0
-# Failures further apart than this have nothing to do with each other: one request in
-# some hundred breaks at any target.
+# Failures further apart than this are unrelated: about one request in a hundred breaks
+# at any target.
 FAILURE_WINDOW_S = 10.0
-# A target that refuses an item though it looks free knows better; it is not offered
-# another one for so long.
+# A target may refuse an item although its counts show a free slot; it is offered no
+# other item for this long.
 REFUSED_FOR_S = 0.5
-# Another target answers at its address, so it has ended; only its entry is still there,
-# for 5 s or until the store is back. Long, yet not for good: an answer may be garbled.
+# When another target answers at its address, the target is gone; only its entry
+# remains, for 5 s or until the store is reachable again. Not permanent, because that
+# answer may have been garbled.
 REPLACED_FOR_S = 4.0
 
 
 class Fleet:
-    """The targets with what speaks for and against using each.
+    """The listed targets, and which of them may get requests.
 
     Attributes:
-        far_counts_are_old: peers are too many to tell each one all counts.
-        lengths_by_service: how long runs take, learnt here or told by peers.
+        zone: own availability zone.
+        rng: breaks ties.
+        targets: the listed targets.
+        occupancy: requests at each target.
+        targets_known: the list of targets has been read.
+        remote_counts_stale: there are too many peers to send each one every count, so
+            counts of other availability zones are old.
+        unreachable: addresses of targets that accept no connections, by id.
+        run_lengths_by_service: how long runs take, observed here or reported by peers.
+        silent_zones: returns the availability zones that may be cut off, whose targets
+            are used last.
 
     Args:
         instance: own id.
         zone: own availability zone.
-        chance: breaks ties.
+        rng: breaks ties.
     """
 
     def __init__(self, instance: str, zone: str, rng: random.Random) -> None:
@@ -51,23 +65,22 @@
         self._failed_at_by_target: dict[str, float] = {}
         self._refusing_until_by_target: dict[str, float] = {}
         self._replaced_until_by_target: dict[str, float] = {}
-        # Zones whose targets are tried last for a moment.
         self.silent_zones: Callable[[float], frozenset[str]] = lambda now: frozenset()
         self._changed: list[Callable[[], None]] = []
 
     def run_lengths(self, service: str) -> RunLengths:
-        """Return what is known of how long the runs of ``service`` take."""
+        """Return the run lengths observed for ``service``."""
         lengths = self.run_lengths_by_service.get(service)
         if lengths is None:
             lengths = self.run_lengths_by_service[service] = RunLengths()
         return lengths
 
     def on_change(self, call: Callable[[], None]) -> None:
-        """Have ``call`` called when counts or targets have changed."""
+        """Register ``call`` to be called when counts or targets have changed."""
         self._changed.append(call)
 
     def notify_changed(self) -> None:
-        """Tell everyone who asked that counts or targets have changed."""
+        """Call what was registered with :meth:`on_change`."""
         for call in self._changed:
             call()
 
@@ -76,8 +89,9 @@
     ) -> list[Target]:
         """Return the targets of ``service`` that may get a request.
 
-        When all of them are ejected, being ejected says nothing about any one. Those
-        of a zone that may have been cut off are left out while there are others.
+        If all of them are ejected, all are returned, as the ejections then say nothing
+        about a single target. Targets of an availability zone that may be cut off are
+        left out while there are others.
         """
         listed = [
             target
@@ -95,31 +109,31 @@
         return target is not None and not target.draining and not self._is_out(id, now)
 
     def record_item_refusal(self, id: str, now: float) -> None:
-        """Note that a target refused an item unrun."""
+        """Record that a target refused an item without running it."""
         self._refusing_until_by_target[id] = now + REFUSED_FOR_S
 
     def mark_replaced(self, id: str, now: float) -> None:
-        """Note that another target answered at the address of this one."""
+        """Record that another target answered at the address of this one."""
         if self._replaced_until_by_target.get(id, 0.0) <= now:
             log.info("target replaced", target=id)
         self._replaced_until_by_target[id] = now + REPLACED_FOR_S
 
     def takes_items(self, id: str, now: float) -> bool:
-        """Whether a target is usable and has not refused an item lately."""
+        """Whether a target is usable and has not refused an item recently."""
         refusing_until = self._refusing_until_by_target.get(id, 0.0)
         return refusing_until <= now and self.is_usable(id, now)
 
     def record_success(self, target: str, now: float) -> None:
-        """Note a whole answer of ``target``."""
+        """Record a complete answer of ``target``."""
         health = self._health_by_target.get(target)
         if health is not None:
             health.succeeded(now)
 
     def record_failure(self, target: Target, error: AttemptError, now: float) -> None:
-        """Note what became of an attempt; eject the target if that is enough."""
+        """Record a failed attempt; eject the target if it has failed too often."""
         health = self._health_by_target.setdefault(target.id, Health())
         if health.is_out(now):
-            # Requests that were under way when it was ejected say nothing new.
+            # Requests in flight at the ejection are no new evidence.
             return
         failed_at = self._failed_at_by_target.get(target.id, now)
         self._failed_at_by_target[target.id] = now
@@ -136,7 +150,7 @@
         )
 
     def mark_crashed(self, target: Target) -> None:
-        """Leave a target alone that has ended, until something listens there again."""
+        """Stop using a crashed target until its address accepts connections again."""
         listed = self.targets.by_id.get(target.id)
         if listed is None or target.id in self.unreachable:
             return
@@ -144,14 +158,14 @@
         self.notify_changed()
 
     def mark_reachable(self, target: str) -> None:
-        """Note that an unreachable target accepts connections again."""
+        """Record that an unreachable target accepts connections again."""
         was_unreachable = self.unreachable.pop(target, None) is not None
         if self._health_by_target.pop(target, None) is not None or was_unreachable:
             log.info("target is back", target=target)
             self.notify_changed()
 
     def discard_removed(self) -> None:
-        """Drop what is known of targets that are no longer listed."""
+        """Discard the state of targets that are no longer listed."""
         for id in list(self._health_by_target):
             if id not in self.targets.by_id:
                 del self._health_by_target[id]
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -1,8 +1,8 @@
-"""Carrying one online request to a target and its answer back.
+"""Reverse proxying of online requests, with retries and resumed streams.
 
-A request that may not run twice is sent on only as long as it has certainly not run.
-One that may is moved when its target breaks, falls silent or fails; a stream goes on
-behind the last event that its caller got.
+A request that must not run twice is retried only while it has certainly not run. An
+idempotent one is retried at another target when its target breaks off, falls silent or
+fails; a stream resumes after the last event that its caller received.
 """
 
 import asyncio
@@ -47,17 +47,25 @@
 
 log = logger(__name__)
 
-# Offers that a request may get beside those that ran it: each was refused unrun.
+# A request is sent to a target at most this often, refusals without a run included.
 MOST_OFFERS = 8
 NO_TARGET_RETRY_AFTER_S = 0.5
 AT_ONCE_S = 0.05
 
 
 class Forwarder:
-    """Carries requests; one for an instance.
+    """Forwards online requests to targets; an instance has one.
 
     Attributes:
-        placed: called with a target's id when a request is on its way there.
+        on_placed: called with the id of the target that a request is sent to.
+
+    Args:
+        fleet: the targets.
+        client: sends attempts.
+        dialect: names of headers.
+        metrics: counted into.
+        limits: deadlines of answers.
+        guard: refuses quarantined requests.
     """
 
     def __init__(
@@ -86,9 +94,9 @@
     async def forward(
         self, request: InboundRequest, reply: Reply
     ) -> ForwardingFailure | None:
-        """Answer ``request`` through ``reply``; return why if that was not possible.
+        """Answer ``request`` through ``reply``; return the failure if there was one.
 
-        After a refusal nothing of an answer has gone out unless ``reply.started``.
+        After a failure nothing has been sent to the caller unless ``reply.started``.
         """
         carriage = ForwardingState(request.resume_after)
         try:
@@ -121,15 +129,16 @@
     async def _held_back(
         self, request: InboundRequest, carriage: ForwardingState
     ) -> ForwardingFailure | None:
-        """Return why a request is kept from targets: others ended under it.
+        """Return the failure of a request that is in quarantine; else None.
 
-        Asked once for each run, for a right to try again is not used by an offer that
-        was refused.
+        The guard is asked once for each run: an attempt that a target refused without
+        running it does not use up the right to a trial.
         """
         if carriage.admitted_runs == carriage.runs:
             return None
         if carriage.runs >= QUARANTINE_THRESHOLD:
-            # It may have ended as many by itself, faster than that is judged.
+            # This request alone may have crashed that many, faster than the crashes
+            # are evaluated.
             await self._guard.wait_until_judged()
         carriage.admitted_runs = carriage.runs
         if not self._guard.has_suspects:
@@ -170,13 +179,13 @@
             return ForwardingFailure("too many refusals", not_run, retry_after_s)
         online_s = self._fleet.run_lengths(service).online_s
         if not_run and self._would_be_cut(service, now):
-            # Another instance can answer it whole.
+            # Another instance can send the complete answer.
             return ForwardingFailure(
                 "its answer would be cut by the stop", not_run, AT_ONCE_S
             )
         left_s = request.objective - now
         if carriage.last_event or not not_run:
-            # It has begun, or may have: it is moved, and its caller cannot come back.
+            # It has started or may have, so its caller cannot be told to retry.
             left_s = max(left_s, request.route.objective_s)
         place = (
             place_online_zone_first if self._fleet.remote_counts_stale else place_online
@@ -205,7 +214,7 @@
         return ForwardingFailure("no slot in time", not_run, retry_after_s)
 
     def _would_be_cut(self, service: str, now: float) -> bool:
-        """Whether the end of a planned stop would cut an answer that begins now."""
+        """Whether a planned stop would cut off an answer that starts now."""
         lengths = self._fleet.run_lengths(service)
         careful = now >= self._limits.reject_long_from
         longest_s = lengths.longest_s if careful else 0.0
@@ -223,7 +232,7 @@
         carriage: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
-        """Send the request to ``target``; None if its answer has gone out whole."""
+        """Send the request to ``target``; None if its answer was relayed completely."""
         carriage.offers += 1
         count = self._fleet.occupancy.total_at(target.id)
         log.info(
@@ -280,7 +289,7 @@
         carriage: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
-        """Have ``target`` run the request until the request is put in quarantine."""
+        """Have ``target`` run the request; cancel it when it gets quarantined."""
         mark = self._mark(request, carriage)
         limit: asyncio.Timeout | None = None
         try:
@@ -289,7 +298,7 @@
         except TimeoutError:
             if limit is None or not limit.expired():
                 raise
-            # Ask the guard again though the target may not have begun to answer.
+            # Ask the guard again, even if the target has not started to answer.
             carriage.admitted_runs = -1
             return Withdrawn("its request is in quarantine")
 
@@ -300,9 +309,9 @@
         carriage: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
-        """Have ``target`` run the request and pass its answer on."""
+        """Have ``target`` run the request and relay its answer."""
         sent_before = carriage.sent_at_least_once
-        # Until the outcome is known it may run.
+        # Assume that it runs until the outcome is known.
         carriage.sent_at_least_once = True
         outbound = self._outbound(request, carriage, target)
         begin_s = FIRST_EVENT_SILENCE_S if request.route.idempotent else math.inf
@@ -342,7 +351,7 @@
         self._metrics.attempts.labels(type(error).__name__).inc()
         asked = {}
         if isinstance(error, Lost):
-            # Its id is of this try only; these tell whether it was lost before.
+            # Each try has another id; these identify repeats of a lost request.
             mark = self._mark(request, carriage)
             asked = {"content": mark.content, "caller": mark.caller}
         log.info(
@@ -370,7 +379,7 @@
         carriage: ForwardingState,
         error: AttemptError,
     ) -> ForwardingFailure | None:
-        """Return why the request is given up; None if it goes to another target."""
+        """Return the failure of the request; None to try another target."""
         if _certainly_not_run(error):
             return None
         if not request.route.idempotent:
@@ -391,7 +400,7 @@
 def _count_unanswered(
     carriage: ForwardingState, error: AttemptError, sent_before: bool
 ) -> None:
-    """Count an attempt that got no answer of its own."""
+    """Count an attempt that ended before the head of an answer."""
     if _certainly_not_run(error):
         carriage.sent_at_least_once = sent_before
         return
--- a/src/caperridge/gateway/inbound.py
+++ b/src/caperridge/gateway/inbound.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way: what came, what became of it, and the way back."""
+"""The records of one caller's request: its content, its progress and its reply."""
 
 from abc import ABC, abstractmethod
 
@@ -8,26 +8,26 @@
 from caperridge.gateway.routes import Route
 from caperridge.records import Record
 
-# Runs of one request that broke at their targets; a few in a row are bad luck, more
-# are the request's own doing.
+# A few broken runs of one request in a row are coincidence; more are caused by the
+# request.
 MAX_RUNS = 4
 
 
 class InboundRequest(Record):
-    """A caller's request, whole.
+    """A caller's request with its complete body.
 
     Attributes:
-        id: as the caller gave it.
-        method: of HTTP.
-        path: with the query, as it came.
-        headers: as they came.
-        body: whole.
-        route: that took it.
-        arrived: when its head had come, on the loop's clock.
-        deadline: when it must have its final answer, on the loop's clock.
-        objective: when it should have its first event, counted from its caller's first
-            try, on the loop's clock.
-        resume_after: number of the last event that the caller has; 0 for none.
+        id: as the caller sent it.
+        method: HTTP method.
+        path: with the query, as received.
+        headers: as received.
+        body: the complete body.
+        route: that matched it.
+        arrived: when its head was received, on the event loop's clock.
+        deadline: when its answer must be complete, on the event loop's clock.
+        objective: when its first event is due, counted from the caller's first try, on
+            the event loop's clock.
+        resume_after: number of the last event that the caller received; 0 for none.
     """
 
     __slots__ = (
@@ -69,13 +69,13 @@
 
 
 class ForwardingFailure(Record):
-    """Why a request gets no answer of a target.
+    """Why a request gets no answer from a target.
 
     Attributes:
-        reason: a sentence for a person.
-        not_run: it has not run and never will.
-        retry_after_s: when asking again makes sense.
-        timed_out: its time is over.
+        reason: for the caller and the log.
+        not_run: it has not run and will not.
+        retry_after_s: delay after which the caller may retry; 0 for none.
+        timed_out: its deadline has passed.
     """
 
     __slots__ = ("not_run", "reason", "retry_after_s", "timed_out")
@@ -94,18 +94,18 @@
 
 
 class Reply(ABC):
-    """The way back to the caller."""
+    """Sends the answer to the caller."""
 
     @property
     @abstractmethod
     def started(self) -> bool:
-        """Whether the head of an answer has gone out."""
+        """Whether the head of an answer was sent."""
 
     @abstractmethod
     async def send_whole(
         self, status: int, headers: CIMultiDict[str], body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
 
     @abstractmethod
     async def start(self, status: int, headers: CIMultiDict[str]) -> None:
@@ -113,26 +113,27 @@
 
     @abstractmethod
     async def write(self, data: bytes) -> None:
-        """Send more of its body."""
+        """Send more of the body of a streamed answer."""
 
     @abstractmethod
     async def end(self) -> None:
-        """End it as whole."""
+        """Mark a streamed answer as complete."""
 
 
 class ForwardingState:
-    """What has become of one request so far.
+    """The progress of one request.
 
     Attributes:
-        last_event: number of the last event that went out; 0 before the first.
+        last_event: number of the last event that was relayed; 0 before the first.
         offers: how often it was sent to a target.
-        runs: how often a target began to answer it.
-        attempts: runs that count against the route's attempts: those that ended with
-            a failure and those that this end broke off; not those that broke.
-        refused_by: targets that are not asked again.
-        sent_at_least_once: it may run or have run.
-        mark: what it asks for, once that mattered.
-        admitted_runs: value of ``runs`` when it was last found that it may be sent.
+        runs: how often a target started to answer it.
+        attempts: runs that count against the route's attempts: those that failed and
+            those that this instance broke off, not those that the target broke off.
+        refused_by: targets that are used again only if there are no others.
+        sent_at_least_once: it may be running or have run.
+        mark: its fingerprint; None until it is needed.
+        admitted_runs: value of ``runs`` when the guard last admitted it; -1 if it has
+            to be asked again.
     """
 
     __slots__ = (
@@ -157,6 +158,6 @@
         self.admitted_runs = -1
 
     def may_retry(self, route: Route) -> bool:
-        """Whether another target may run it."""
+        """Whether it may be run once more."""
         enough = self.attempts >= route.max_attempts
         return not enough and self.runs < MAX_RUNS
--- a/src/caperridge/gateway/occupancy.py
+++ b/src/caperridge/gateway/occupancy.py
@@ -1,7 +1,8 @@
-"""How many requests run at each target, by the word of all instances.
+"""How many requests run at each target, summed over the reports of all instances.
 
-Every instance tells its peers how many online requests and items it has at a target
-whenever that changes. The counts are absolute, so news may be lost or doubled.
+Every instance reports to its peers how many online requests and items it has at a
+target whenever that changes. The counts are absolute, so reports may be lost or
+duplicated.
 """
 
 from caperridge.records import Record
@@ -11,9 +12,9 @@
     """Requests at one target.
 
     Attributes:
-        online: of callers who wait.
-        items: of jobs.
-        latest_due: when that of the items is due that is due last; 0 without items.
+        online: requests of callers that wait for the answer.
+        items: items of jobs.
+        latest_due: the latest deadline among the items; 0 without items.
     """
 
     __slots__ = ("items", "latest_due", "online")
@@ -27,7 +28,7 @@
 
     @property
     def total(self) -> int:
-        """All of them."""
+        """Online requests and items."""
         return self.online + self.items
 
 
@@ -35,7 +36,11 @@
 
 
 class Occupancy:
-    """Own counts and those of peers, with their sum for each target."""
+    """Counts of this instance and of its peers, with their sum for each target.
+
+    Args:
+        own: id of this instance.
+    """
 
     def __init__(self, own: str) -> None:
         self.own = own
@@ -44,20 +49,20 @@
         self._changed: set[str] = set()
 
     def add(self, target: str, online: int = 0, items: int = 0) -> None:
-        """Change the own counts at ``target`` by these differences."""
+        """Add to the own counts at ``target``; the numbers may be negative."""
         before = self._counts_by_instance[self.own].get(target, NO_REQUESTS)
         count = Count(before.online + online, before.items + items, before.latest_due)
         self._put(self.own, target, count)
         self._changed.add(target)
 
     def set_latest_due(self, target: str, latest_due: float) -> None:
-        """Say when the own item at ``target`` is due that is due last."""
+        """Set the latest deadline among the own items at ``target``."""
         count = self._counts_by_instance[self.own].get(target)
         if count is not None:
             count.latest_due = latest_due
 
     def update_peer_count(self, instance: str, target: str, count: Count) -> Count:
-        """Take what a peer says it has at ``target``; return what it had before."""
+        """Set the count that a peer reports at ``target``; return the previous one."""
         if instance == self.own:
             return count
         return self._put(instance, target, count)
@@ -65,7 +70,7 @@
     def update_peer_counts(
         self, instance: str, counts_by_target: dict[str, Count]
     ) -> bool:
-        """Take all that a peer has; return whether that was news."""
+        """Replace all counts of a peer; return whether any of them changed."""
         before = self._counts_by_instance.get(instance, {})
         if instance == self.own or before == counts_by_target:
             return False
@@ -77,7 +82,7 @@
         return True
 
     def remove_peer(self, instance: str) -> None:
-        """Drop what a peer said that is not heard from any more."""
+        """Drop the counts of a peer that was lost."""
         self.update_peer_counts(instance, {})
         if instance != self.own:
             self._counts_by_instance.pop(instance, None)
@@ -87,19 +92,19 @@
         return self._sums_by_target.get(target, NO_REQUESTS)
 
     def count_of(self, instance: str, target: str) -> Count:
-        """Return what one instance has at ``target``."""
+        """Return the count of one instance at ``target``."""
         return self._counts_by_instance.get(instance, {}).get(target, NO_REQUESTS)
 
     def own_at(self, target: str) -> Count:
-        """Return what this instance has at ``target``."""
+        """Return the count of this instance at ``target``."""
         return self._counts_by_instance[self.own].get(target, NO_REQUESTS)
 
     def own_counts(self) -> dict[str, Count]:
-        """Return what this instance has, by target."""
+        """Return the counts of this instance, by target."""
         return dict(self._counts_by_instance[self.own])
 
     def item_counts_by_instance(self, target: str) -> dict[str, Count]:
-        """Return who has items at ``target``."""
+        """Return the counts of the instances with items at ``target``, by instance."""
         found: dict[str, Count] = {}
         for instance, counts in self._counts_by_instance.items():
             count = counts.get(target, NO_REQUESTS)
@@ -118,7 +123,7 @@
         return changed
 
     def _put(self, instance: str, target: str, count: Count) -> Count:
-        """Set one count and the sum it is in; return what it was."""
+        """Set one count and update the sum; return the previous count."""
         counts = self._counts_by_instance.get(instance)
         if counts is None:
             counts = self._counts_by_instance[instance] = {}
--- a/src/caperridge/gateway/open_runs.py
+++ b/src/caperridge/gateway/open_runs.py
@@ -1,4 +1,4 @@
-"""Which runs are open at which target, so that they can be ended together."""
+"""Open attempts by target, so that those of one target can be aborted together."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 
 class OpenRuns:
-    """What ends each run that waits for its target; by the target's id."""
+    """The abort callbacks of open attempts, by the id of their target."""
 
     __slots__ = ("_ends_by_target",)
 
@@ -14,11 +14,11 @@
         self._ends_by_target: dict[str, set[End]] = {}
 
     def add(self, target: str, end: End) -> None:
-        """Note a run, and what to call when the target's life is over."""
+        """Add an attempt, with the callback that aborts it if the target restarts."""
         self._ends_by_target.setdefault(target, set()).add(end)
 
     def remove(self, target: str, end: End) -> None:
-        """Forget a run that has ended."""
+        """Remove an attempt that has finished."""
         ends = self._ends_by_target.get(target)
         if ends is None:
             return
@@ -27,7 +27,7 @@
             del self._ends_by_target[target]
 
     def end_all(self, target: str) -> int:
-        """End the runs at ``target``; return how many there were."""
+        """Abort the attempts at ``target``; return how many there were."""
         ends = self._ends_by_target.pop(target, set())
         for end in ends:
             end()
--- a/src/caperridge/gateway/placement.py
+++ b/src/caperridge/gateway/placement.py
@@ -1,10 +1,10 @@
-"""Where requests go: online ones at once, items only where a slot is free.
+"""Load balancing of online requests, and preemption of items in their favour.
 
-Targets know no priorities and take requests in the order they come, so an item must
-not hold a slot that an online request needs. Online requests are sent without asking;
-whoever has items at a target that is then over its slots cancels as many. Everyone
-sees the same counts a moment later and works out the same order, so one item is
-cancelled for one request.
+Targets have no priorities and run requests in order of arrival, so an item must not
+occupy a slot that an online request needs. Online requests are sent without
+coordination; instances with items at a target that then exceeds its slots cancel as
+many. All instances soon see the same counts and compute the same order, so exactly one
+item is cancelled for each request.
 """
 
 import random
@@ -15,14 +15,14 @@
 from caperridge.gateway.targets import Target
 from caperridge.records import Record
 
-# How many requests may queue at a target whose slots are all taken by online ones.
+# Returns how many requests may queue at a target whose slots all run online requests.
 MaxQueued = Callable[[Target], int]
-# The better of two at random is nearly as good as the best, without a herd.
+# Power of two random choices: nearly as good as the best target, without herding.
 FAR_CHOICES = 2
 
 
 def no_queue(target: Target) -> int:
-    """Let nobody queue: only a slot will do."""
+    """Allow no queue: the request needs a slot."""
     return 0
 
 
@@ -33,10 +33,10 @@
     chance: random.Random,
     most_queued: MaxQueued,
 ) -> Target | None:
-    """Return where an online request goes; None if even the queues are full.
+    """Return the target for an online request; None if all queues are full too.
 
-    Free slots come first, those of the own availability zone before others; then
-    slots that an item gives up, then the shortest queue.
+    Free slots come first, then slots that an item would give up, both in the own
+    availability zone before others; then the shortest queue.
     """
     best: Target | None = None
     best_cost: Cost | None = None
@@ -57,12 +57,12 @@
     chance: random.Random,
     most_queued: MaxQueued,
 ) -> Target | None:
-    """Return where an online request goes if counts of other zones are old.
+    """Return the target for an online request when counts of other zones are stale.
 
-    Slots of the own availability zone come first, also those that an item has to give
-    up. Of other zones two targets at random are weighed: were the emptiest of all
-    chosen, every instance would choose the same until it hears that it is full. All
-    are weighed where those two have no slot left.
+    Slots of the own availability zone come first, also those that an item would have
+    to give up. Of the other zones two random targets are compared: with the emptiest
+    of all, every instance would choose the same target until its count is updated.
+    If those two have no slot left, all targets are compared.
     """
     near = [target for target in targets if target.availability_zone == zone]
     best = place_online(near, occupancy, zone, chance, no_queue)
@@ -75,12 +75,13 @@
 
 
 class Cost(Record):
-    """What speaks against a target.
+    """The cost of sending a request to a target.
 
     Attributes:
-        kind: free slot, an item's slot, or a queue; in the own zone or elsewhere.
-        load: how full it is.
-        tie: tells apart what is alike.
+        kind: 0 for a free slot, 2 for the slot of an item, each one more in another
+            availability zone; 4 for a queue.
+        load: how full the target is.
+        tie: breaks ties.
     """
 
     __slots__ = ("kind", "load", "tie")
@@ -92,7 +93,7 @@
 
     @property
     def rank(self) -> tuple[int, float, float]:
-        """By which costs are compared, the lowest being best."""
+        """The sort key of costs; the lowest is best."""
         return self.kind, self.load, self.tie
 
 
@@ -103,7 +104,7 @@
     tie: float,
     most_queued: MaxQueued,
 ) -> Cost | None:
-    """Return what speaks against ``target``; None if there is no room."""
+    """Return the cost of using ``target``; None if it has no room."""
     count = occupancy.total_at(target.id)
     if count.total < target.slots:
         return Cost(0 + elsewhere, count.total / target.slots, tie)
@@ -115,15 +116,15 @@
 
 
 def items_to_cancel(target: Target, occupancy: Occupancy) -> int:
-    """Return how many of its items at ``target`` this instance has to cancel."""
+    """Return how many of its own items at ``target`` this instance has to cancel."""
     return items_to_cancel_by_instance(target, occupancy).get(occupancy.own, 0)
 
 
 def items_to_cancel_by_instance(target: Target, occupancy: Occupancy) -> dict[str, int]:
     """Return how many of its items at ``target`` each instance has to cancel.
 
-    Instances with items there yield in an order that all work out alike: who has the
-    item that is due last begins. Those that need not yield are left out.
+    The order is the same on every instance: the one whose latest item deadline is the
+    last cancels first. Instances that need not cancel any are left out.
     """
     over = occupancy.total_at(target.id).total - target.slots
     if over <= 0:
--- a/src/caperridge/gateway/reply.py
+++ b/src/caperridge/gateway/reply.py
@@ -1,4 +1,4 @@
-"""The way back to a caller, through the HTTP library."""
+"""Replies to callers through the HTTP library."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,11 +10,14 @@
 
 
 class AiohttpReply(Reply):
-    """Answers through the HTTP library.
+    """Sends an answer through the HTTP library.
+
+    Attributes:
+        response: the answer; None until it has started.
 
     Args:
         request: that is answered.
-        closing: whether the connection ends after this answer.
+        closing: returns whether the connection closes after the answer.
     """
 
     def __init__(self, request: web.Request, closing: Callable[[], bool]) -> None:
@@ -24,7 +27,7 @@
         self._begun_at: float | None = None
 
     def begun_after(self, since: float) -> float | None:
-        """Return how long after ``since`` the answer began; None if it has not."""
+        """Return the seconds from ``since`` to the answer's start; None before it."""
         if self._begun_at is None:
             return None
         return round(self._begun_at - since, 4)
@@ -62,7 +65,7 @@
         await self.response.write_eof()
 
     def break_off(self) -> None:
-        """Close the connection, so that a begun answer does not look whole."""
+        """Abort the connection, so that the caller sees an incomplete answer."""
         transport = self._request.transport
         if transport is not None:
             transport.abort()
--- a/src/caperridge/gateway/routes.py
+++ b/src/caperridge/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which service serves a request, and what may be done with it."""
+"""The routing table: which service serves a request, and on what terms."""
 
 from collections.abc import Iterable
 
@@ -6,15 +6,15 @@
 
 from caperridge.records import Record
 
-# Kinds of a route.
-SAFE = "safe"  # may run more than once
-UNSAFE = "unsafe"  # at most once
+# Kinds of routes.
+SAFE = "safe"  # idempotent: requests may run more than once
+UNSAFE = "unsafe"  # requests run at most once
 STREAMING = "streaming"  # answered by events; at most once unless resumable
-BATCH = "batch"  # takes jobs of items that run later
+BATCH = "batch"  # accepts jobs whose items run later
 
 
 class Share(Record):
-    """Part of a route's requests that a service gets, by weight."""
+    """The weight of a service in a route's traffic split."""
 
     __slots__ = ("service", "weight")
 
@@ -24,12 +24,12 @@
 
 
 class BatchTerms(Record):
-    """What a route that takes jobs says of them.
+    """The terms of jobs on a batch route.
 
     Attributes:
-        due_s: from a job's first send until all results are due.
-        max_waiting_tokens: of unfinished items on the route; 0 for no limit.
-        retention_s: from the first send until an item may be given up.
+        due_s: seconds from the first submission of a job until all results are due.
+        max_waiting_tokens: tokens of unfinished items on the route; 0 for no limit.
+        retention_s: seconds from the first submission until an item may be abandoned.
     """
 
     __slots__ = ("due_s", "max_waiting_tokens", "retention_s")
@@ -43,19 +43,19 @@
 
 
 class Route(Record):
-    """Which requests it takes, who serves them, and how.
+    """Matches requests and defines which services run them, and how.
 
     Attributes:
         name: unique in a configuration.
         host: value of the ``Host`` header, without a port.
-        path_prefix: begins and ends with a slash.
+        path_prefix: starts and ends with a slash.
         kind: ``SAFE``, ``UNSAFE``, ``STREAMING`` or ``BATCH``.
-        shares: the services, by weight.
-        timeout_s: longest that a request may be held.
-        objective_s: time to the answer, or its first event, that callers expect.
-        rank: 0 is the most urgent.
-        max_attempts: greatest number of targets that one request may be sent to.
-        resumable: a stream may be continued at another target.
+        shares: the services and their weights.
+        timeout_s: longest time that a request may take.
+        objective_s: time to the answer or its first event that callers expect.
+        rank: priority; 0 is the most urgent.
+        max_attempts: failed runs after which one request is not retried.
+        resumable: another target may continue a stream.
         event_gap_s: longest pause between events that callers expect; 0 if unknown.
         batch: terms of jobs; None unless ``kind`` is ``BATCH``.
     """
@@ -109,7 +109,7 @@
         return self.kind == SAFE or (self.kind == STREAMING and self.resumable)
 
     def service_for(self, request: str) -> str:
-        """Return the service that serves the request of this id.
+        """Return the service that serves the request with this id.
 
         >>> route = Route("r", "h", "/", SAFE, [Share("a", 0), Share("b", 1)], 1.0)
         >>> route.service_for("any")
@@ -125,12 +125,13 @@
 
 
 class Service(Record):
-    """A group of targets that serve the same.
+    """A group of interchangeable targets.
 
     Attributes:
-        name: as routes and targets have it.
+        name: by which routes and targets refer to it.
         health_path: answers 200 while a target is healthy.
-        slots: requests that a target works on at a time, unless it says otherwise.
+        slots: requests that a target runs at the same time, unless its entry says
+            otherwise.
     """
 
     __slots__ = ("health_path", "name", "slots")
@@ -142,13 +143,13 @@
 
 
 class CallerLimits(Record):
-    """What callers may send, and how long they may take.
+    """Limits on size and time for callers.
 
     Attributes:
-        header_bytes: of a request's head.
-        body_bytes: of a request's body.
-        header_s: for the head to arrive.
-        idle_s: that a kept connection may rest.
+        header_bytes: largest head of a request.
+        body_bytes: largest body of a request.
+        header_s: longest time until the head is received.
+        idle_s: longest time that a kept connection may be idle.
     """
 
     __slots__ = ("body_bytes", "header_bytes", "header_s", "idle_s")
@@ -163,7 +164,14 @@
 
 
 class RoutingTable:
-    """One version of the configuration; never changed after it was made."""
+    """One version of the configuration; immutable.
+
+    Attributes:
+        version: of the configuration.
+        routes: all routes.
+        services_by_name: all services.
+        limits: for callers.
+    """
 
     __slots__ = (
         "_batch_routes_by_name",
@@ -214,8 +222,9 @@
         return None
 
     def batch_route(self, name: str) -> Route | None:
-        """Return the route ``name`` if it takes jobs.
+        """Return the route ``name`` if it accepts jobs.
 
-        Asked for every job at each change of a count, whatever the number of routes.
+        Called for every job at each change of a count, so its cost does not depend on
+        the number of routes.
         """
         return self._batch_routes_by_name.get(name)
--- a/src/caperridge/gateway/target_ends.py
+++ b/src/caperridge/gateway/target_ends.py
@@ -1,8 +1,8 @@
-"""Finding out that targets ended, and which runs were lost with each.
+"""Crash detection for targets, with the runs that each crash took along.
 
-A connection that breaks says little: targets break off answers, too. A target has ended
-if nothing listens at its address, a later life of it is listed, or its entry goes, all
-without notice that it leaves.
+A broken connection is weak evidence, as healthy targets break off answers too. A target
+has crashed if, without having announced that it drains, its address refuses
+connections, a later incarnation of it is listed, or its entry is removed.
 """
 
 import asyncio
@@ -16,24 +16,26 @@
 
 log = logger(__name__)
 
-# A target that crashes closes its connections; its door is closed then or a moment
-# later.
+# A target that crashes closes its connections; its listening socket is closed by then
+# or shortly after.
 LOOKS_AFTER_S = (0.0, 0.03, 0.2)
-# Until the entry of a target that crashed goes, which is after three heartbeats of it.
+# The entry of a crashed target expires after three missed heartbeats.
 CONFIRMED_WITHIN_S = 6.0
-# Runs that are lost with a target are noticed within one turn of the loop or two.
+# The loss of all runs at a target is noticed within one or two iterations of the event
+# loop.
 GATHER_S = 0.005
 
 
 class LostRuns:
-    """Runs that were lost at one target of which it is not known whether it ended.
+    """Runs lost at a target that has not been confirmed as crashed.
 
     Attributes:
-        target: where they were.
-        runs: that were lost and not told yet.
-        left: runs that were ended here; lost only if the target is seen to have ended.
-        timer: drops them if nothing shows that the target ended.
-        look: at its address; None once that is over.
+        target: that ran them.
+        runs: broken off there and not reported yet.
+        left: cancelled by this instance; lost only if the check of the address finds
+            that the target has crashed.
+        timer: discards them if no crash is confirmed in time.
+        look: the running check of its address; None if none runs.
     """
 
     __slots__ = ("left", "look", "runs", "target", "timer")
@@ -47,14 +49,14 @@
 
 
 class CrashDetector:
-    """Tells which runs were lost with targets that ended.
+    """Reports crashed targets with the runs that were lost there.
 
     Attributes:
-        told: called with a target that ended and the runs that were lost there.
-        is_refused: looks at an address.
+        on_crash: called with a crashed target and the runs lost there.
+        is_refused: returns whether an address refuses connections.
 
     Args:
-        fleet: whose targets are listed.
+        fleet: holds the listed targets and stops using the crashed ones.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -64,37 +66,41 @@
         self._fleet = fleet
         self.is_refused = is_refused
         self._losses_by_target: dict[str, LostRuns] = {}
-        # Targets that have ended, for runs of which that is noticed later.
+        # Crashed targets, for runs whose loss is noticed only later.
         self._ended: dict[str, asyncio.TimerHandle] = {}
 
     @property
     def checking(self) -> bool:
-        """Whether it is not known yet of some target whether it ended."""
+        """Whether the address of some target is still being checked."""
         return any(one.look is not None for one in self._losses_by_target.values())
 
     def record_lost_run(self, target: Target, run: LostRun) -> None:
-        """Take note of a run whose answer broke off at ``target``."""
+        """Record a run whose answer was broken off by ``target``."""
         losses = self._losses(target, run)
         if losses is not None:
             losses.runs.append(run)
 
     def record_cancelled_run(self, target: Target, run: LostRun) -> None:
-        """Take note of a run that this instance ended, as its caller left.
+        """Record a run that this instance cancelled because its caller disconnected.
 
-        A caller may leave in the moment in which its request ends the target.
+        A caller may disconnect at the moment its request crashes the target.
         """
         losses = self._losses(target, run)
         if losses is not None:
             losses.left.append(run)
 
     def _losses(self, target: Target, run: LostRun) -> LostRuns | None:
-        """Return where to note a run at ``target``, which is looked at; or tell it."""
+        """Return the losses of ``target`` and have its address checked.
+
+        Returns None if the run needs no check: it is reported at once if the target is
+        known to have crashed, and ignored if the target is draining or not listed.
+        """
         if target.id in self._ended:
             self.on_crash(target, [run])
             return None
         listed = self._fleet.targets.by_id.get(target.id)
         if listed is None or listed.draining:
-            return None  # it leaves, and ends what it has not done
+            return None  # a draining target cuts what it cannot finish
         losses = self._losses_by_target.get(target.id)
         if losses is None:
             losses = self._losses_by_target[target.id] = self._new(target)
@@ -104,21 +110,21 @@
         return losses
 
     def target_removed(self, target: Target) -> None:
-        """Take note that a target is not listed any more.
+        """Record that a target is no longer listed.
 
-        What was lost before was lost as it ended. Some targets leave without notice and
-        serve on for a while; what is lost at such a one later is not counted.
+        Runs lost there before are counted as lost in a crash. Some targets leave
+        without notice and keep serving for a while; later losses there are not counted.
         """
         if not target.draining and target.id in self._losses_by_target:
             self._end(target)
 
     def target_restarted(self, target: Target) -> None:
-        """Take note that a later life of a target is listed."""
+        """Record that a later incarnation of a target is listed."""
         if not target.draining:
             self._end(target)
 
     async def close(self) -> None:
-        """End all looks."""
+        """Cancel all checks."""
         looks = [one.look for one in self._losses_by_target.values() if one.look]
         for losses in list(self._losses_by_target.values()):
             self._drop(losses)
@@ -141,7 +147,7 @@
         self._losses_by_target.pop(losses.target.id, None)
 
     async def _look(self, losses: LostRuns) -> None:
-        """See whether anything listens where a target was."""
+        """Check whether the address of a target refuses connections."""
         try:
             for pause_s in LOOKS_AFTER_S:
                 await asyncio.sleep(pause_s + GATHER_S)
--- a/src/caperridge/gateway/targets.py
+++ b/src/caperridge/gateway/targets.py
@@ -1,24 +1,24 @@
-"""The targets as the platform lists them, with entries that lapsed in an outage."""
+"""The targets that the platform lists, and entries that lapsed in a store outage."""
 
 from caperridge.records import Record
 
-# Entries that lapse while the store is away are back about 2 s after its return if
-# their target lives; one that is missing for longer is gone.
+# Entries that lapse while the store is unreachable reappear about 2 s after its
+# recovery if their target is running; one that is missing for longer is gone.
 LAPSE_GRACE_S = 2.2
 
 
 class Target(Record):
-    """One life of a target, as the platform lists it.
+    """One incarnation of a target, as the platform lists it.
 
     Attributes:
-        id: of this life, unlike that of any other; all that is known is known by it.
-        name: that it is listed and addressed under; a target that starts again may
+        id: unique to this incarnation; all state about targets is kept by it.
+        name: under which the target is listed and addressed; a restarted target may
             keep it.
         service: that it belongs to.
         address: ``IP:PORT``; may later belong to another target.
         availability_zone: where it runs.
-        slots: requests that it works on at a time.
-        draining: it takes no new work and ends soon.
+        slots: requests that it runs at the same time.
+        draining: it takes no new requests and stops soon.
     """
 
     __slots__ = (
@@ -51,12 +51,13 @@
 
 
 class TargetLoad(Record):
-    """What a target says of its work.
+    """The load that a target reports.
 
     Attributes:
-        running: requests that it works on.
+        running: requests that it runs.
         waiting: requests in its queue.
-        started_ms: when its life began, by its own clock; 0 if it does not say.
+        started_ms: when this incarnation started, in ms of its own clock; 0 if it does
+            not report that.
     """
 
     __slots__ = ("running", "started_ms", "waiting")
@@ -68,18 +69,18 @@
 
     @property
     def total(self) -> int:
-        """All requests there."""
+        """Running and waiting requests."""
         return self.running + self.waiting
 
     def may_be_from(self, target: Target) -> bool:
-        """Whether this may be the word of this life of ``target``."""
+        """Whether this incarnation of ``target`` may have sent the report."""
         if not self.started_ms or target.id == target.name:
             return True
         return target.id == incarnation_id(target.name, self.started_ms)
 
 
 def incarnation_id(name: str, started_ms: int) -> str:
-    """Return the id of the life of ``name`` that began then.
+    """Return the id of the incarnation of ``name`` that started then.
 
     >>> incarnation_id("i-7f3a", 1790000000000)
     'i-7f3a@1790000000000'
@@ -88,11 +89,11 @@
 
 
 class TargetList:
-    """The targets that may be listed, by id; fed with changes.
+    """The targets that are listed, and those that may have merely lapsed.
 
     Attributes:
-        by_id: the entries.
-        changes: counts the changes of ``by_id``.
+        by_id: the targets.
+        changes: number of changes of ``by_id`` so far.
     """
 
     def __init__(self) -> None:
@@ -103,17 +104,17 @@
         self._store_back_at = float("-inf")
 
     def store_returned(self, now: float) -> None:
-        """Note that the store answers again after it was away."""
+        """Record that the store answers again after an outage."""
         self._store_back_at = now
 
     def may_have_lapsed(self, now: float) -> bool:
-        """Whether an entry that goes now may have lapsed while the store was away."""
+        """Whether an entry removed now may have lapsed during a store outage."""
         return now < self._store_back_at + LAPSE_GRACE_S
 
     def put(self, target: Target) -> Target | None:
-        """Take a new or changed entry; return the target whose life it shows as over.
+        """Add or replace an entry; return the incarnation that it supersedes, if any.
 
-        A target that has started again knows nothing of what it did before.
+        A restarted target has lost the requests that it ran before.
         """
         earlier = self.by_id.get(self._id_by_name.get(target.name, ""))
         over = earlier if earlier is not None and earlier.id != target.id else None
@@ -126,10 +127,10 @@
         return over
 
     def remove(self, name: str, now: float) -> None:
-        """Take note that an entry is no longer listed.
+        """Remove the target whose entry is no longer listed.
 
-        Right after an outage of the store the entry may merely have lapsed, so the
-        target is kept until it must have been back.
+        Right after a store outage the entry may merely have lapsed, so the target is
+        kept for the time within which it would reappear.
         """
         target = self.find_by_name(name)
         if target is None:
@@ -141,9 +142,9 @@
         self._forget(target.id)
 
     def discard(self, name: str) -> bool:
-        """Drop a target whose entry names none any more; return whether there was one.
+        """Drop a target whose entry became invalid; return whether there was one.
 
-        Its entry did not lapse: something else was written in its place.
+        Unlike in :meth:`remove` the entry cannot have lapsed: it was overwritten.
         """
         target = self.find_by_name(name)
         if target is not None:
@@ -151,18 +152,18 @@
         return target is not None
 
     def find_by_name(self, name: str) -> Target | None:
-        """Return the target that is listed under ``name``."""
+        """Return the target listed under ``name``; None if there is none."""
         return self.by_id.get(self._id_by_name.get(name, ""))
 
     def expire(self, now: float) -> list[str]:
-        """Drop lapsed entries that did not come back; return their ids."""
+        """Drop lapsed entries that did not reappear in time; return their ids."""
         gone = [id for id, until in self._lapsing_until_by_id.items() if until <= now]
         for id in gone:
             self._forget(id)
         return gone
 
     def of_service(self, service: str) -> list[Target]:
-        """Return the targets of ``service`` that take new work."""
+        """Return the targets of ``service`` that are not draining."""
         return [
             target
             for target in self.by_id.values()
--- a/src/caperridge/gateway/upstream.py
+++ b/src/caperridge/gateway/upstream.py
@@ -1,7 +1,7 @@
-"""The client of targets: one connection for each attempt, never used again.
+"""The HTTP client for targets, with one connection for each attempt.
 
-A target may send a late or surplus answer on a kept connection, or bytes after a
-whole one; on a connection of its own none of that reaches another request.
+On a reused connection a late or surplus answer of a target, or bytes after a complete
+one, could be taken for the answer to another request. So none is reused.
 """
 
 import asyncio
@@ -32,22 +32,23 @@
 from caperridge.targets.plain import ADDED_HEADERS
 from caperridge.targets.silence import SilenceWatch
 
-# Availability zones are some milliseconds apart and a connection takes one more; a
-# target that is away answers nothing, and its caller has 300 ms.
+# Availability zones are some milliseconds apart, and connecting takes one more. A
+# target that has gone does not respond at all, and its caller expects the first event
+# within 300 ms.
 CONNECT_S = 0.2
 READ_BYTES = 64 * 2**10
 STARTED_AGAIN = "its target started again"
 
 
 class Outbound(Record):
-    """One request as it goes to a target.
+    """One request as it is sent to a target.
 
     Attributes:
         request: its id, which the answer must carry.
-        method: of HTTP.
+        method: HTTP method.
         path: with the query, encoded as the caller sent it.
-        headers: all of them.
-        body: whole.
+        headers: all headers.
+        body: the complete body.
     """
 
     __slots__ = ("body", "headers", "method", "path", "request")
@@ -68,21 +69,25 @@
 
 
 class BrokenAnswerError(Exception):
-    """The answer ended before it was whole."""
+    """The answer ended before it was complete."""
 
 
 class SilentAnswerError(BrokenAnswerError):
-    """Nothing came for too long; the connection is closed by now."""
+    """No data was received for too long; the connection has been closed."""
 
 
 class Answer:
-    """An answer whose head has come; its body is read by pieces or by events.
+    """An answer whose head was received; its body is read in chunks or as events.
+
+    Attributes:
+        status: HTTP status.
+        headers: as received.
 
     Args:
         response: of the HTTP library.
-        watch: ends it when it falls silent.
-        target: id of the target that gives it.
-        runs: it is noted there until it is closed.
+        watch: closes the connection when the target falls silent.
+        target: id of the target that sends it.
+        runs: holds the answer until it is closed.
     """
 
     __slots__ = (
@@ -111,7 +116,7 @@
         self._ended_by: BrokenAnswerError | None = None
         runs.add(target, self._target_started_again)
         self._splitter = EventSplitter()
-        # Kept here, for the response lets go of it at the end of the body.
+        # Held here because the response drops its connection at the end of the body.
         connection = response.connection
         self._protocol = connection.protocol if connection is not None else None
         self.status = response.status
@@ -123,17 +128,18 @@
         next_s: float = math.inf,
         gather_s: float = 0.0,
     ) -> AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the body as it is received.
 
         Args:
-            first_s: longest silence before the first piece.
-            next_s: longest silence after that.
-            gather_s: what comes within so long of a piece, or until the end of the
-                body, makes one piece. It is lost if the connection breaks meanwhile.
+            first_s: longest silence before the first chunk, in seconds.
+            next_s: longest silence after that, in seconds.
+            gather_s: data received within this time of a chunk, or before the end of
+                the body, forms the next chunk. It is lost if the connection breaks
+                in the meantime.
 
         Raises:
             BrokenAnswerError: the connection ended before the body did.
-            SilentAnswerError: nothing came for too long.
+            SilentAnswerError: no data was received for too long.
         """
         watched = self._watch.add(first_s, self._fell_silent)
         loop = asyncio.get_running_loop()
@@ -156,16 +162,16 @@
     async def events(
         self, first_s: float, next_s: float, gather_s: float = 0.0
     ) -> AsyncIterator[list[Event]]:
-        """Yield the events of the body, those of one piece together.
+        """Yield the events of the body, those of one chunk together.
 
         Args:
-            first_s: see :meth:`pieces`.
-            next_s: see :meth:`pieces`.
-            gather_s: see :meth:`pieces`.
+            first_s: see :meth:`chunks`.
+            next_s: see :meth:`chunks`.
+            gather_s: see :meth:`chunks`.
 
         Raises:
-            BrokenAnswerError: the body is not whole, or ends within an event.
-            SilentAnswerError: nothing came for too long.
+            BrokenAnswerError: the body is incomplete or ends within an event.
+            SilentAnswerError: no data was received for too long.
         """
         async for piece in self.chunks(first_s, next_s, gather_s):
             yield self._splitter.feed(piece)
@@ -173,13 +179,13 @@
             raise BrokenAnswerError("it ended within an event")
 
     async def _gather(self, gather_s: float) -> None:
-        """Let the body come for so long; return early at its end."""
+        """Wait for more of the body; return early at its end."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(gather_s):
                 await self._response.content.wait_eof()
 
     def buffered_events(self) -> list[Event]:
-        """Return whole events that have come, once nobody reads :meth:`events`."""
+        """Return complete events that were received after :meth:`events` was left."""
         content = self._response.content
         if content.exception() is not None:
             return []
@@ -187,7 +193,7 @@
 
     @property
     def at_end(self) -> bool:
-        """Whether the whole body has come."""
+        """Whether the complete body was received."""
         return self._response.content.is_eof()
 
     def close(self) -> None:
@@ -215,7 +221,11 @@
 
 
 class TargetClient:
-    """Sends requests to targets and tells what became of each attempt."""
+    """Sends requests to targets and returns the outcome of each attempt.
+
+    Args:
+        dialect: names of headers, and the meaning of error answers.
+    """
 
     def __init__(self, dialect: Dialect) -> None:
         self._dialect = dialect
@@ -224,7 +234,7 @@
         self._runs = OpenRuns()
 
     def abort_runs(self, target: str) -> int:
-        """End what waits for a target whose life is over; return how much that was."""
+        """Abort the attempts at a target that restarted; return how many there were."""
         return self._runs.end_all(target)
 
     async def close(self) -> None:
@@ -236,14 +246,14 @@
     async def open(
         self, target: Target, outbound: Outbound, begin_s: float = math.inf
     ) -> Result[Answer, AttemptError]:
-        """Send ``outbound`` and return the answer once its head has come.
+        """Send ``outbound`` and return the answer once its head was received.
 
-        Cancelling this closes the connection.
+        Cancelling this call closes the connection.
 
         Args:
-            target: that gets it.
-            outbound: what is sent.
-            begin_s: longest silence before the head.
+            target: to send to.
+            outbound: the request.
+            begin_s: longest time until the head of the answer, in seconds.
         """
         over = False
         limit = asyncio.timeout(begin_s if begin_s < math.inf else None)
@@ -289,7 +299,7 @@
     async def get(
         self, target: Target, path: str, within_s: float
     ) -> Result[bytes, AttemptError]:
-        """Return the body of a small answer of status 200 of just this target."""
+        """Return the body of a small answer with status 200 from this target only."""
         try:
             async with self._open().get(
                 yarl.URL(f"http://{target.address}{path}", encoded=True),
@@ -308,7 +318,7 @@
         return TargetRefused(status, "it gives no answer", replaced=replaced)
 
     async def is_reachable(self, address: str, within_s: float = CONNECT_S) -> bool:
-        """Return whether something accepts connections at ``address``."""
+        """Return whether ``address`` accepts connections."""
         try:
             async with asyncio.timeout(within_s):
                 await connect(address)
--- a/src/caperridge/gateway/waiting_runs.py
+++ b/src/caperridge/gateway/waiting_runs.py
@@ -1,7 +1,7 @@
-"""Runs that have made no event yet, cancelled when their request is quarantined.
+"""Cancels runs without an event yet when their request is quarantined.
 
-A target runs what it has queued even after other instances have learnt that the request
-crashes targets. Closing the connection has it dropped.
+A target runs the requests in its queue even after instances have found out that one of
+them crashes targets. Closing the connection makes the target drop that request.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
     """One run of one request.
 
     Attributes:
-        request: its id.
-        mark: what the request asks for.
-        carriage: of the request.
+        request: id of the request.
+        mark: its fingerprint.
+        carriage: its progress.
         after_event: number of the last event before this run.
-        limit: ends the run.
+        limit: cancels the run.
     """
 
     __slots__ = ("after_event", "carriage", "limit", "mark", "request")
@@ -48,7 +48,7 @@
     """The runs of one instance.
 
     Args:
-        guard: says which requests are in quarantine.
+        guard: knows which requests are in quarantine.
     """
 
     def __init__(self, guard: RequestGuard) -> None:
@@ -60,12 +60,12 @@
     async def within(
         self, request: str, mark: Fingerprint, carriage: ForwardingState
     ) -> AsyncIterator[asyncio.Timeout]:
-        """End the block with :class:`TimeoutError` if the run is withdrawn.
+        """End the block with :class:`TimeoutError` if the run is cancelled.
 
         Args:
-            request: its id.
-            mark: what it asks for.
-            carriage: of the request.
+            request: id of the request.
+            mark: its fingerprint.
+            carriage: its progress.
         """
         async with asyncio.timeout(None) as limit:
             self._runs_by_number[id(limit)] = WaitingRun(request, mark, carriage, limit)
@@ -75,7 +75,7 @@
                 del self._runs_by_number[id(limit)]
 
     def _withdraw(self, content: str) -> None:
-        """Cancel the runs of a request that is in quarantine from now on."""
+        """Cancel the runs of a request that has just been quarantined."""
         now = asyncio.get_running_loop().time()
         for run in self._runs_by_number.values():
             if run.mark.content != content or not self._guard.is_quarantined(run.mark):
