--- a/src/caperridge/decisions/plans.py
+++ b/src/caperridge/decisions/plans.py
@@ -69,10 +69,10 @@
     return Plan(current.version, f"{current.version}-{content}", changes)
 
 
-def base_of(digest: str) -> int | None:
+def base_version_of(digest: str) -> int | None:
     """Return the version that the plan with ``digest`` was made against.
 
-    >>> base_of("17-5f"), base_of("no digest")
+    >>> base_version_of("17-5f"), base_version_of("no digest")
     (17, None)
     """
     base, dash, _content = digest.partition("-")
--- a/src/caperridge/gateway/fleet.py
+++ b/src/caperridge/gateway/fleet.py
@@ -127,19 +127,19 @@
         """Record a complete answer of ``target``."""
         health = self._health_by_target.get(target)
         if health is not None:
-            health.succeeded(now)
+            health.record_success(now)
 
     def record_failure(self, target: Target, error: AttemptError, now: float) -> None:
         """Record a failed attempt; eject the target if it has failed too often."""
         health = self._health_by_target.setdefault(target.id, Health())
-        if health.is_out(now):
+        if health.is_ejected(now):
             # Requests in flight at the ejection are no new evidence.
             return
         failed_at = self._failed_at_by_target.get(target.id, now)
         self._failed_at_by_target[target.id] = now
         if now - failed_at > FAILURE_WINDOW_S:
             health = self._health_by_target[target.id] = Health()
-        if not health.failed(error):
+        if not health.record_failure(error):
             return
         out_s = min(health.eject(now), MAX_EJECTION_S)
         health.out_until = now + out_s
@@ -184,4 +184,4 @@
         if self._replaced_until_by_target.get(target, 0.0) > now:
             return True
         health = self._health_by_target.get(target)
-        return health is not None and health.is_out(now)
+        return health is not None and health.is_ejected(now)
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -12,9 +12,9 @@
 from result import Err
 
 from caperridge.decisions.admission import (
-    ends_in_time,
-    most_queued,
-    return_after_s,
+    finishes_in_time,
+    max_queued,
+    retry_delay_s,
 )
 from caperridge.decisions.suspects import QUARANTINE_THRESHOLD
 from caperridge.gateway.answer_limits import AnswerLimits
@@ -195,7 +195,7 @@
             self._fleet.occupancy,
             self._fleet.zone,
             self._fleet.rng,
-            lambda one: most_queued(online_s, one.slots, left_s),
+            lambda one: max_queued(online_s, one.slots, left_s),
         )
         if target is not None:
             return target
@@ -218,12 +218,12 @@
         lengths = self._fleet.run_lengths(service)
         careful = now >= self._limits.reject_long_from
         longest_s = lengths.longest_s if careful else 0.0
-        return not ends_in_time(
+        return not finishes_in_time(
             lengths.online_s, longest_s, self._limits.deadline - now
         )
 
     def _return_after_s(self, request: InboundRequest, now: float) -> float:
-        return return_after_s(request.deadline - now, self._fleet.rng.random())
+        return retry_delay_s(request.deadline - now, self._fleet.rng.random())
 
     async def _offer(
         self,
--- a/src/caperridge/gateway/held_rows.py
+++ b/src/caperridge/gateway/held_rows.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from caperridge.decisions.quarantine import Quarantine
-from caperridge.decisions.suspects import End, Hold, Suspect
+from caperridge.decisions.suspects import Crash, Hold, Suspect
 from caperridge.elapsed import elapsed_s
 from caperridge.gateway.clock import StoreClock
 from caperridge.gateway.jobs.codec import UnreadableError, from_bytes, to_bytes
@@ -22,7 +22,7 @@
     Transaction,
 )
 from caperridge.gateway.table_copy import TableCopy
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from caperridge.log import logger
 from caperridge.records import Record
 
@@ -31,7 +31,7 @@
 TABLE = "held-requests"
 # Ends that are worth a row: with one more a request is held, and all instances may be
 # lost before that one comes.
-KEPT_ENDS = 2
+MIN_STORED_CRASHES = 2
 # While the store is away.
 PAUSE_S = 1.0
 # Between two writes; a crash makes a few rows, and no hurry.
@@ -69,7 +69,7 @@
         self.trial_at = trial_at
 
 
-class HeldRows:
+class QuarantineTable:
     """Keeps suspects in the store and takes what others kept.
 
     Args:
@@ -83,7 +83,7 @@
         self,
         store: RowStore,
         clock: StoreClock,
-        reach: StoreReach,
+        reach: StoreReachability,
         quarantine: Quarantine,
     ) -> None:
         self.copy = TableCopy(TABLE)
@@ -95,7 +95,7 @@
         self._changed: dict[str, None] = {}
         self._wake = asyncio.Event()
 
-    def changed(self, content: str) -> None:
+    def schedule_write(self, content: str) -> None:
         """Have the row of a content written, or removed, soon."""
         self._changed[content] = None
         self._wake.set()
@@ -135,7 +135,7 @@
             return True
         return await self._transact(Transaction({key: version}, {}, [key]), key)
 
-    async def claim(self, suspect: Suspect) -> bool:
+    async def claim_trial(self, suspect: Suspect) -> bool:
         """Take the right to try a request again; one instance gets it each time."""
         key = _key(suspect.content)
         row = self.copy.rows_by_key.get(key)
@@ -160,18 +160,18 @@
         if not isinstance(answer, Err):
             value = transaction.writes.get(key)
             row = StoredRow(key, value or b"", answer.ok_value.version, value is None)
-            self.copy.take_row(row)
+            self.copy.apply_row(row)
             return True
         if isinstance(answer.err_value, Refused):
             now = answer.err_value.row(key)
             # Gone if it is not there; the copy may not know yet.
             if now is None:
                 self.copy.rows_by_key.pop(key, None)
-            elif self.copy.take_row(now):
-                self.take([now], "store")
+            elif self.copy.apply_row(now):
+                self.apply_rows([now], "store")
         return False
 
-    def take(self, rows: list[StoredRow], source: str) -> list[str]:
+    def apply_rows(self, rows: list[StoredRow], source: str) -> list[str]:
         """Take rows that were news; return the contents whose holds changed."""
         news: list[str] = []
         for row in rows:
@@ -187,7 +187,7 @@
             except (UnreadableError, ValueError, TypeError) as error:
                 log.error("held request skipped", content=content, reason=str(error))
                 continue
-            if self._quarantine.restore(content, ends, hold):
+            if self._quarantine.merge(content, ends, hold):
                 news.append(content)
                 log.info(
                     "hold taken",
@@ -200,11 +200,11 @@
                 )
         return news
 
-    def sweep(self) -> None:
+    def remove_expired(self) -> None:
         """Have rows removed of which nothing was heard for long."""
         for key in self.copy.rows_by_key:
             if key.key not in self._quarantine.by_content:
-                self.changed(key.key)
+                self.schedule_write(key.key)
 
     # Between the store's clock and that of this machine.
 
@@ -213,7 +213,7 @@
         hold = hold or suspect.hold
         ends = [
             [e.target, e.caller, e.age_s, e.events, e.at + ahead_s, e.reported_by]
-            for e in suspect.ends
+            for e in suspect.crashes
         ]
         if hold is None:
             return to_bytes(HeldRow(ends, [], 0.0, 0, 0.0))
@@ -227,7 +227,7 @@
             )
         )
 
-    def _restored(self, row: HeldRow) -> tuple[list[End], Hold | None]:
+    def _restored(self, row: HeldRow) -> tuple[list[Crash], Hold | None]:
         """Return what a row holds, by the clock of this machine.
 
         Raises:
@@ -237,9 +237,9 @@
         # Told by a peer before the store has answered, it is as new as can be.
         store_s = self._clock.now() if self._clock.known else row.since
         ahead_s = store_s - elapsed_s()
-        ends: list[End] = []
+        ends: list[Crash] = []
         for target, caller, age_s, events, at, reported_by in row.ends:
-            end = End(
+            end = Crash(
                 str(target),
                 str(caller),
                 float(age_s),
@@ -260,4 +260,4 @@
 
 
 def _is_worth_a_row(suspect: Suspect) -> bool:
-    return suspect.hold is not None or len(suspect.ends) >= KEPT_ENDS
+    return suspect.hold is not None or len(suspect.crashes) >= MIN_STORED_CRASHES
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -20,7 +20,7 @@
 from caperridge.gateway.edge import Edge
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.forwarding import Forwarder
-from caperridge.gateway.held_rows import HeldRows
+from caperridge.gateway.held_rows import QuarantineTable
 from caperridge.gateway.jobs.acceptance import JobAcceptance
 from caperridge.gateway.jobs.broker import SlotBroker
 from caperridge.gateway.jobs.claims import JobClaimer
@@ -42,11 +42,11 @@
 from caperridge.gateway.mesh.member import Member
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.metrics import GatewayMetrics
-from caperridge.gateway.news import PeerNews
+from caperridge.gateway.news import PeerUpdates
 from caperridge.gateway.observed_store import ObservedStore
 from caperridge.gateway.registry import InstanceRegistry
 from caperridge.gateway.relayed_store import RelayedStore
-from caperridge.gateway.repeating_store import RepeatingStore
+from caperridge.gateway.repeating_store import HedgingStore
 from caperridge.gateway.request_guard import RequestGuard
 from caperridge.gateway.rows import RowStore, StoredRow
 from caperridge.gateway.settings import Settings
@@ -57,9 +57,9 @@
 from caperridge.gateway.table_rows import TableRows
 from caperridge.gateway.target_ends import CrashDetector
 from caperridge.gateway.targets import Target
-from caperridge.gateway.unowned import UnownedLook
+from caperridge.gateway.unowned import OrphanedRunScan
 from caperridge.gateway.upstream import TargetClient
-from caperridge.gateway.watcher import Changed, StoreReach, TableWatcher
+from caperridge.gateway.watcher import Changed, StoreReachability, TableWatcher
 from caperridge.gateway.zones import silent_zones
 from caperridge.log import logger
 
@@ -98,7 +98,7 @@
         self.configuration = ConfigurationInForce()
         self.fleet = Fleet(settings.instance, settings.availability_zone, chance)
         self.clock = StoreClock()
-        self.reach = StoreReach()
+        self.reach = StoreReachability()
         self.index = JobIndex()
         self.mesh = Mesh(
             settings.instance,
@@ -112,10 +112,10 @@
         relayed = RelayedStore(store, self.mesh, self.reach, chance)
         store = ObservedStore(relayed, self.clock, self.metrics)
         self._store = store
-        repeating = RepeatingStore(store)
+        repeating = HedgingStore(store)
         self.client = TargetClient(dialect)
         quarantine = Quarantine()
-        held_rows = HeldRows(repeating, self.clock, self.reach, quarantine)
+        held_rows = QuarantineTable(repeating, self.clock, self.reach, quarantine)
         self._target_ends = CrashDetector(self.fleet)
         self.guard = RequestGuard(
             quarantine,
@@ -149,9 +149,9 @@
             self.granting,
         )
         self.recalls = SlotRecalls(
-            self.mesh, self.fleet, self.granting, slots, self.keeper.held
+            self.mesh, self.fleet, self.granting, slots, self.keeper.held_jobs
         )
-        self.unowned = UnownedLook(
+        self.unowned = OrphanedRunScan(
             self.fleet, self.client, dialect, self.mesh, self._granted_in_service
         )
         acceptance = JobAcceptance(repeating, self.index, self.clock, chance)
@@ -174,7 +174,7 @@
             self.metrics,
         )
         self._watchers = self._make_watchers(dialect, chance)
-        self.news = PeerNews(self.mesh, self.fleet, self._watchers, self.reach)
+        self.news = PeerUpdates(self.mesh, self.fleet, self._watchers, self.reach)
         self.registry = InstanceRegistry(store, self.mesh)
         self.sweeper = JobSweeper(
             store, self.index, self.clock, self.mesh, settings.jobs_kept_s
@@ -198,34 +198,34 @@
         targets = TableCopy(dialect.targets_table)
         held = self.guard.rows.copy
         return [
-            watcher(configuration, self._rows.configuration, 0.0),
-            watcher(targets, self._rows.targets, 0.0),
-            watcher(self.index.copy, self._rows.index, INDEX_READ_INTERVAL_S),
+            watcher(configuration, self._rows.apply_configuration, 0.0),
+            watcher(targets, self._rows.apply_targets, 0.0),
+            watcher(self.index.copy, self._rows.apply_index, INDEX_READ_INTERVAL_S),
             watcher(held, self._held_requests, QUARANTINE_READ_INTERVAL_S),
         ]
 
     def _held_requests(self, rows: list[StoredRow], source: str) -> None:
         self.guard.take_rows(rows, source)
-        self._rows.taken(self.guard.rows.copy.table)
+        self._rows.on_applied(self.guard.rows.copy.table)
 
     def _wire(self) -> None:
-        self._rows.taken = self.news.table_changed
-        self._rows.gone = self._target_ends.target_removed
-        self._rows.over = self._target_ends.target_restarted
-        self.edge.read_peers = self.mesh.hear_now
+        self._rows.on_applied = self.news.table_changed
+        self._rows.on_target_removed = self._target_ends.target_removed
+        self._rows.on_target_replaced = self._target_ends.target_restarted
+        self.edge.read_peers = self.mesh.receive_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
-        self.news.item_started = self.granting.used
-        self.news.count_told = self._count_told
+        self.news.on_item_started = self.granting.slot_used
+        self.news.on_count_received = self._count_told
         self._forwarder.on_placed = self.keeper.check_slots
-        self.reach.on_return(self.fleet.targets.store_returned)
+        self.reach.on_recovered(self.fleet.targets.store_returned)
         self.fleet.on_change(self.keeper.fleet_changed)
         self.fleet.on_change(self.news.counts_changed)
-        self.configuration.on_change(self.keeper.poke)
-        self.index.on_change(self.keeper.poke)
-        self.mesh.on_lose(self._peer_lost)
+        self.configuration.on_change(self.keeper.schedule_check)
+        self.index.on_change(self.keeper.schedule_check)
+        self.mesh.on_lost(self._peer_lost)
 
     def _count_told(self, target: str) -> None:
-        self.recalls.look(target)
+        self.recalls.check(target)
         self.keeper.check_slots(target)
 
     def _granted_in_service(self) -> list[Target]:
@@ -235,7 +235,7 @@
             return []
         return [
             target
-            for target in self.granting.granted_here()
+            for target in self.granting.granted_targets()
             if target.service in table.services_by_name
         ]
 
@@ -290,11 +290,11 @@
         """Leave without cutting anything; return how many requests were cut."""
         log.info("instance stops", running=self.edge.running)
         self.news.leaving = True
-        steps = [self._tell_peers, self.keeper.hand_over, self.registry.leave]
+        steps = [self._tell_peers, self.keeper.hand_over, self.registry.deregister]
         return await PlannedStop(self.edge, self._door, steps).run(grace_s)
 
     async def _tell_peers(self) -> None:
-        self.news.beat()
+        self.news.send_heartbeat()
 
     def reload(self, settings: Settings) -> None:
         """Take changed settings; those of listeners hold from the next start on."""
@@ -331,10 +331,10 @@
         while True:
             now = elapsed_s()
             if not self._stood_still(watch.look(now - due)):
-                self.mesh.check()
+                self.mesh.check_members()
             due = now + TICK_INTERVAL_S
             self.fleet.remote_counts_stale = self.mesh.large
-            self.recalls.forget_old(now)
+            self.recalls.expire(now)
             gone = self.fleet.targets.expire(now)
             if gone:
                 log.info("targets gone after an outage", targets=gone)
@@ -351,7 +351,7 @@
         if standstill.stood_s < MIN_STALL_S:
             return False
         self.metrics.standstill.observe(standstill.stood_s)
-        self.mesh.hear_now()
+        self.mesh.receive_now()
         log.warning(
             "instance stood still",
             stood_s=round(standstill.stood_s, 3),
@@ -364,7 +364,7 @@
 
     async def _beat(self) -> None:
         while True:
-            self.news.beat()
+            self.news.send_heartbeat()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _probe(self) -> None:
--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from caperridge.decisions.quarantine import SETTLE_S, Quarantine
-from caperridge.decisions.suspects import SOUND_FOR_S, End, Hold, LostRun, Suspect
+from caperridge.decisions.suspects import GOOD_RUN_TTL_S, Crash, Hold, LostRun, Suspect
 from caperridge.elapsed import elapsed_s
 from caperridge.gateway.fingerprint import Fingerprint
 from caperridge.gateway.fleet import Fleet
-from caperridge.gateway.held_rows import KEPT_ENDS, HeldRows
+from caperridge.gateway.held_rows import MIN_STORED_CRASHES, QuarantineTable
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import SoundRuns, Suspects, TargetEnded
 from caperridge.gateway.metrics import GatewayMetrics
@@ -79,7 +79,7 @@
         self,
         quarantine: Quarantine,
         ends: CrashDetector,
-        rows: HeldRows,
+        rows: QuarantineTable,
         mesh: Mesh,
         fleet: Fleet,
         metrics: GatewayMetrics,
@@ -98,7 +98,7 @@
         mesh.register(TargetEnded, self._peer_lost_runs)
         mesh.register(SoundRuns, self._peer_ran_well)
         mesh.register(Suspects, self._peer_suspects)
-        mesh.say_first(self._first_word)
+        mesh.send_on_connect(self._first_word)
 
     # Asked before a request is sent.
 
@@ -114,7 +114,7 @@
 
     def is_quarantined(self, mark: Fingerprint) -> bool:
         """Whether a request is in quarantine and not to be tried again yet."""
-        hold = self.quarantine.hold_of(mark.content, mark.caller)
+        hold = self.quarantine.hold_for(mark.content, mark.caller)
         return hold is not None and not hold.is_due(elapsed_s())
 
     async def admit(self, mark: Fingerprint, request: str) -> QuarantineRefusal | None:
@@ -125,7 +125,7 @@
             request: its id, for the log.
         """
         self._judge()
-        hold = self.quarantine.hold_of(mark.content, mark.caller)
+        hold = self.quarantine.hold_for(mark.content, mark.caller)
         if hold is None:
             return None
         suspect = self.quarantine.by_content[mark.content]
@@ -138,7 +138,7 @@
         now = elapsed_s()
         left_s = (suspect.hold or hold).next_due(now) - now
         return QuarantineRefusal(
-            f"{len(suspect.ends)} targets ended while they ran it",
+            f"{len(suspect.crashes)} targets ended while they ran it",
             max(MIN_RETRY_AFTER_S, left_s),
         )
 
@@ -175,7 +175,7 @@
         self._sound_at[key] = now
         if len(self._sound_at) > MAX_GOOD_RUNS:
             self._sound_at.popitem(last=False)
-        if self.quarantine.sound(mark.content, mark.caller, now, now):
+        if self.quarantine.record_good_run(mark.content, mark.caller, now, now):
             self._cleared(mark.content, self._mesh.instance)
             self._mesh.send_all(SoundRuns([[mark.content, mark.caller, 0.0]]))
 
@@ -183,7 +183,7 @@
 
     def take_rows(self, rows: list[StoredRow], source: str) -> None:
         """Take rows of held requests that were news."""
-        if self.rows.take(rows, source):
+        if self.rows.apply_rows(rows, source):
             self._judge_soon()
             self._count()
 
@@ -206,12 +206,16 @@
         self._take_end(news.target, runs, peer)
 
     def _take_end(self, target: str, runs: list[LostRun], reported_by: str) -> None:
-        news = self.quarantine.ended(target, runs, elapsed_s(), reported_by)
+        news = self.quarantine.record_crash(target, runs, elapsed_s(), reported_by)
         for content in news:
             suspect = self.quarantine.by_content.get(content)
             own = reported_by == self._mesh.instance
-            if own and suspect is not None and len(suspect.ends) >= KEPT_ENDS:
-                self.rows.changed(content)
+            if (
+                own
+                and suspect is not None
+                and len(suspect.crashes) >= MIN_STORED_CRASHES
+            ):
+                self.rows.schedule_write(content)
         if news:
             self._judge_soon()
         self._say_what_ran_well(runs)
@@ -232,8 +236,8 @@
         if at is None or suspect is None:
             return False
         now = elapsed_s()
-        said_s = now - suspect.sound_at_for(run.caller)
-        return now - at < SOUND_FOR_S and said_s > SOUND_FOR_S / 2
+        said_s = now - suspect.last_good_run_at_for(run.caller)
+        return now - at < GOOD_RUN_TTL_S and said_s > GOOD_RUN_TTL_S / 2
 
     def _exonerate(self, runs: list[LostRun]) -> None:
         now = elapsed_s()
@@ -242,7 +246,7 @@
             if not self._is_sound(run):
                 continue
             at = self._sound_at[run.content, run.caller]
-            self.quarantine.sound(run.content, run.caller, at, now)
+            self.quarantine.record_good_run(run.content, run.caller, at, now)
             told.append([run.content, run.caller, round(now - at, 3)])
         if told:
             self._mesh.send_all(SoundRuns(told))
@@ -250,14 +254,14 @@
     def _peer_ran_well(self, peer: str, news: SoundRuns) -> None:
         now = elapsed_s()
         for content, caller, ago_s in news.runs:
-            if self.quarantine.sound(content, caller, now - ago_s, now):
+            if self.quarantine.record_good_run(content, caller, now - ago_s, now):
                 self._cleared(content, peer)
 
     def _cleared(self, content: str, reported_by: str) -> None:
         """Note a good run of a suspect."""
         suspect = self.quarantine.by_content[content]
         log.info("suspect ran well", reported_by=reported_by, **_told(suspect))
-        self.rows.changed(content)
+        self.rows.schedule_write(content)
         self._count()
 
     # Judging.
@@ -270,18 +274,18 @@
     def _judge_now(self) -> None:
         self._judge_timer = None
         self._judge()
-        if self.quarantine.unjudged:
+        if self.quarantine.evaluation_pending:
             self._judge_soon()
 
     def _judge(self) -> None:
-        for suspect in self.quarantine.judge(elapsed_s()):
+        for suspect in self.quarantine.evaluate(elapsed_s()):
             log.warning("request put in quarantine", **_told(suspect))
-            self.rows.changed(suspect.content)
+            self.rows.schedule_write(suspect.content)
             self._count()
             self.on_quarantined(suspect.content)
 
     def _count(self) -> None:
-        self._metrics.quarantine.set(len(self.quarantine.held()))
+        self._metrics.quarantine.set(len(self.quarantine.quarantined()))
 
     # Telling who knows nothing.
 
@@ -294,7 +298,7 @@
         now = elapsed_s()
         for content, ends, hold in news.suspects:
             taken = [
-                End(target, caller, age_s, events, now - ago_s, by)
+                Crash(target, caller, age_s, events, now - ago_s, by)
                 for target, caller, age_s, events, ago_s, by in ends
             ]
             held = None
@@ -302,7 +306,7 @@
                 callers, since_s, trials, trial_in_s = hold
                 since, trial_at = now - since_s, now + trial_in_s
                 held = Hold(frozenset(callers), since, trials, trial_at)
-            if not self.quarantine.restore(content, taken, held):
+            if not self.quarantine.merge(content, taken, held):
                 continue
             told = _told(self.quarantine.by_content[content])
             log.info("suspect taken", reported_by=peer, **told)
@@ -317,7 +321,7 @@
             return False
         self._claiming.add(suspect.content)
         try:
-            return await self.rows.claim(suspect)
+            return await self.rows.claim_trial(suspect)
         finally:
             self._claiming.discard(suspect.content)
 
@@ -325,13 +329,13 @@
         """Forget what is long ago until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_S)
-            self.quarantine.forget(elapsed_s())
-            self.rows.sweep()
+            self.quarantine.expire(elapsed_s())
+            self.rows.remove_expired()
             self._count()
 
     def state(self) -> list[dict[str, Any]]:
         """Return what is in quarantine, for people."""
-        return [_told(suspect) for suspect in self.quarantine.held()]
+        return [_told(suspect) for suspect in self.quarantine.quarantined()]
 
 
 def _held_first(suspect: Suspect) -> bool:
@@ -351,9 +355,9 @@
                 "age_s": round(now - end.at, 3),
                 "reported_by": end.reported_by,
             }
-            for end in suspect.ends[-MAX_LOGGED_ENDS:]
+            for end in suspect.crashes[-MAX_LOGGED_ENDS:]
         ],
-        "ends_known": len(suspect.ends),
+        "ends_known": len(suspect.crashes),
         "callers": sorted(hold.callers) if hold is not None else None,
         "held_s": round(now - hold.since, 3) if hold is not None else None,
         "trials": hold.trials if hold is not None else 0,
@@ -366,7 +370,7 @@
     hold = suspect.hold
     ends = [
         [e.target, e.caller, e.age_s, e.events, round(now - e.at, 3), e.reported_by]
-        for e in suspect.ends
+        for e in suspect.crashes
     ]
     if hold is None:
         return [suspect.content, ends, []]
--- a/src/caperridge/instance/plain_calls.py
+++ b/src/caperridge/instance/plain_calls.py
@@ -8,14 +8,14 @@
 
 from caperridge.config.model import Caller, Service
 from caperridge.decisions.plain_calls import (
-    COME_BACK_S,
-    Answer,
-    CallCourse,
-    GiveUp,
-    Move,
+    RETRY_AFTER_S,
+    CallAttempts,
+    RefuseCall,
+    RetryElsewhere,
+    ReturnAnswer,
 )
 from caperridge.decisions.retry_budget import RetryBudget
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.instance.messages import OnlineLoad
 from caperridge.instance.plain_headers import target_word, towards_target
 from caperridge.instance.traces import Trace, Traces
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetPool,
         client: PlainClient,
         traces: Traces,
         leaving: Callable[[str], object],
@@ -124,24 +124,24 @@
         service = request.service
         budget = self._budgets_by_service.setdefault(service.name, RetryBudget())
         budget.deposit()
-        course = CallCourse(service.repeatable, service.believes_not_run, budget)
+        course = CallAttempts(service.repeatable, service.believes_not_run, budget)
         excluded: set[str] = set()
         refusal: PlainAnswer | None = None
         while True:
-            weighed = self._book.weigh(service.name, excluded, now=self._clock())
+            weighed = self._book.rank(service.name, excluded, now=self._clock())
             if not weighed and refusal is not None:
                 # The service is overloaded; its own word says more than ours.
                 return refusal
             if not weighed:
-                raise _given_up(request, course.no_target())
+                raise _given_up(request, course.refuse_no_target())
             target = weighed[0].target
             excluded.add(target)
             request.trace.add("sent", "least expected wait", target=target)
             outcome = await self._attempt(target, request.call)
             action = self._judge(course, target, outcome)
-            if isinstance(action, GiveUp):
+            if isinstance(action, RefuseCall):
                 raise _given_up(request, action)
-            if isinstance(action, Answer):
+            if isinstance(action, ReturnAnswer):
                 answer = outcome.ok_value
                 request.trace.add("answered", f"status {answer.status}")
                 return answer
@@ -152,43 +152,45 @@
         self, target: str, call: PlainCall
     ) -> Result[PlainAnswer, PlainError]:
         state = self._book.states_by_id[target]
-        self._book.started(target)
+        self._book.record_start(target)
         self._load_changed(OnlineLoad(target, state.in_flight))
         try:
             return await self.client.call(state.member.address, call)
         finally:
-            self._book.ended(target)
+            self._book.record_finish(target)
             self._load_changed(OnlineLoad(target, state.in_flight))
 
     def _judge(
         self,
-        course: CallCourse,
+        course: CallAttempts,
         target: str,
         outcome: Result[PlainAnswer, PlainError],
-    ) -> Answer | Move | GiveUp:
+    ) -> ReturnAnswer | RetryElsewhere | RefuseCall:
         if isinstance(outcome, Err):
             error = outcome.err_value
             if not isinstance(error, AnswerTooLarge):
-                self._book.failed(target, error, self._clock())
+                self._book.record_failure(target, error, self._clock())
             return _judge_error(course, error)
         answer = outcome.ok_value
-        self._book.succeeded(target, self._clock())
+        self._book.record_success(target, self._clock())
         word = target_word(answer.status, answer.body)
         if word.leaving:
             self._leaving(target)
-        return course.answered(answer.status, word.run)
+        return course.record_answer(answer.status, word.run)
 
 
-def _judge_error(course: CallCourse, error: PlainError) -> Move | GiveUp:
+def _judge_error(
+    course: CallAttempts, error: PlainError
+) -> RetryElsewhere | RefuseCall:
     if isinstance(error, NotSent):
-        return course.not_sent(error.reason)
+        return course.record_not_sent(error.reason)
     if isinstance(error, AnswerTooLarge):
-        return course.too_large(error.reason)
-    return course.lost(error.reason)
+        return course.refuse_too_large(error.reason)
+    return course.record_lost(error.reason)
 
 
-def _given_up(request: PlainRequest, action: GiveUp) -> RefusedError:
-    retry_after_s = COME_BACK_S if action.run == NOT_RUN else 0.0
+def _given_up(request: PlainRequest, action: RefuseCall) -> RefusedError:
+    retry_after_s = RETRY_AFTER_S if action.run == NOT_RUN else 0.0
     return request.refuse(
         action.code, action.reason, action.status, action.run, retry_after_s
     )
--- a/src/caperridge/instance/process.py
+++ b/src/caperridge/instance/process.py
@@ -8,7 +8,7 @@
 
 from caperridge.decisions.limit_share import Seat, seat_of
 from caperridge.decisions.membership import Membership
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.elapsed import elapsed_s
 from caperridge.instance.authentication import Authentication
 from caperridge.instance.batch_streams import BatchStreams
@@ -64,7 +64,7 @@
 from caperridge.peers.messages import (
     TargetNews,
 )
-from caperridge.queries.explain import Explanations
+from caperridge.queries.explain import TraceLookup
 from caperridge.settings import Settings
 from caperridge.store.http import HttpPlatform
 from caperridge.store.interface import ListedMember, Platform
@@ -125,7 +125,7 @@
         self._plain_client = PlainClient()
         # Instances differ in the seed, so that they do not choose in step.
         seed = zlib.crc32(settings.instance_id.encode())
-        book = TargetBook(settings.availability_zone, seed)
+        book = TargetPool(settings.availability_zone, seed)
         self.session = SessionKeeper(
             self.platform, settings.instance_id, settings.lease_s, clock
         )
@@ -174,7 +174,7 @@
             self.held_requests,
             self._seat,
         )
-        self.explanations = Explanations(self.traces, self.peers)
+        self.explanations = TraceLookup(self.traces, self.peers)
         self.target_reports = TargetReports(
             self.membership,
             book,
@@ -267,7 +267,7 @@
             service = services_by_name.get(state.member.service)
             if service is not None and book.closed_to_online(target_id, service):
                 closed.add(target_id)
-        self.online.book.close(closed)
+        self.online.book.set_closed(closed)
         self.streams.close({t for t in closed if book.closed_to_batch(t)})
 
     def _seat(self) -> Seat:
