--- a/src/caperridge/gateway/answer_relay.py
+++ b/src/caperridge/gateway/answer_relay.py
@@ -20,7 +20,7 @@
 FIRST_EVENT_SILENCE_S = 1.2
 EVENT_SILENCE_S = 0.7
 EVENT_STREAM = "text/event-stream"
-MOST_ANSWER_BYTES = 16 * 2**20
+MAX_ANSWER_BYTES = 16 * 2**20
 
 
 class AnswerRelay:
@@ -37,47 +37,49 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: ForwardingState,
+        state: ForwardingState,
         answer: Answer,
     ) -> AttemptError | None:
         """Relay ``answer``; return None if it was relayed completely."""
-        kind = answer.headers.get("Content-Type", "").partition(";")[0].strip().lower()
-        if answer.status == 200 and kind == EVENT_STREAM:
-            return await self._relay_events(request, reply, carriage, answer)
-        return await self._relay_whole(request, reply, carriage, answer)
+        content_type = (
+            answer.headers.get("Content-Type", "").partition(";")[0].strip().lower()
+        )
+        if answer.status == 200 and content_type == EVENT_STREAM:
+            return await self._relay_events(request, reply, state, answer)
+        return await self._relay_whole(request, reply, state, answer)
 
     async def _relay_whole(
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: ForwardingState,
+        state: ForwardingState,
         answer: Answer,
     ) -> AttemptError | None:
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         try:
-            async for piece in answer.chunks():
-                pieces.append(piece)
-                size += len(piece)
-                if size > MOST_ANSWER_BYTES:
+            async for chunk in answer.chunks():
+                chunks.append(chunk)
+                size += len(chunk)
+                if size > MAX_ANSWER_BYTES:
                     return WrongAnswer("an answer that is too large")
         except BrokenAnswerError as error:
             return Lost(str(error))
         failed = answer.status >= 500
         if failed:
-            carriage.attempts += 1
-        again = request.route.idempotent and carriage.may_retry(request.route)
-        if (failed and again) or reply.started:
+            state.attempts += 1
+        retryable = request.route.idempotent and state.may_retry(request.route)
+        if (failed and retryable) or reply.started:
             return TargetRefused(answer.status, "it failed", "ran")
         headers = end_to_end_headers(answer.headers, frozenset())
-        await reply.send_whole(answer.status, headers, b"".join(pieces))
+        await reply.send_whole(answer.status, headers, b"".join(chunks))
         return None
 
     async def _relay_events(
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: ForwardingState,
+        state: ForwardingState,
         answer: Answer,
     ) -> AttemptError | None:
         first_s, next_s = math.inf, math.inf
@@ -85,14 +87,14 @@
             first_s, next_s = FIRST_EVENT_SILENCE_S, EVENT_SILENCE_S
         try:
             async for events in answer.events(first_s, next_s):
-                good, wrong = _next_events(events, carriage)
-                if good:
-                    await self._pass_on(request, reply, answer, good)
-                if wrong:
-                    carriage.attempts += 1
+                in_order, out_of_order = _events_in_order(events, state)
+                if in_order:
+                    await self._write_events(request, reply, answer, in_order)
+                if out_of_order:
+                    state.attempts += 1
                     return WrongAnswer("an event out of order")
         except SilentAnswerError as error:
-            carriage.attempts += 1
+            state.attempts += 1
             return Lost(str(error), broken_off=True)
         except BrokenAnswerError as error:
             return Lost(str(error))
@@ -103,7 +105,7 @@
         await reply.end()
         return None
 
-    async def _pass_on(
+    async def _write_events(
         self, request: InboundRequest, reply: Reply, answer: Answer, data: bytes
     ) -> None:
         if not reply.started:
@@ -117,17 +119,17 @@
         await reply.write(data)
 
 
-def _next_events(events: list[Event], carriage: ForwardingState) -> tuple[bytes, bool]:
+def _events_in_order(events: list[Event], state: ForwardingState) -> tuple[bytes, bool]:
     """Return the events in sequence, joined, and whether one was out of sequence.
 
     Events without a number are relayed unchecked.
     """
-    good: list[bytes] = []
+    in_order: list[bytes] = []
     for event in events:
-        expected = carriage.last_event + 1
-        if event.id >= 0 and carriage.last_event and event.id != expected:
-            return b"".join(good), True
+        expected = state.last_event + 1
+        if event.id >= 0 and state.last_event and event.id != expected:
+            return b"".join(in_order), True
         if event.id >= 0:
-            carriage.last_event = event.id
-        good.append(event.raw)
-    return b"".join(good), False
+            state.last_event = event.id
+        in_order.append(event.raw)
+    return b"".join(in_order), False
--- a/src/caperridge/gateway/fleet.py
+++ b/src/caperridge/gateway/fleet.py
@@ -23,11 +23,11 @@
 FAILURE_WINDOW_S = 10.0
 # A target may refuse an item although its counts show a free slot; it is offered no
 # other item for this long.
-REFUSED_FOR_S = 0.5
+ITEM_REFUSAL_COOLDOWN_S = 0.5
 # When another target answers at its address, the target is gone; only its entry
 # remains, for 5 s or until the store is reachable again. Not permanent, because that
 # answer may have been garbled.
-REPLACED_FOR_S = 4.0
+REPLACED_COOLDOWN_S = 4.0
 
 
 class Fleet:
@@ -66,7 +66,7 @@
         self._refusing_until_by_target: dict[str, float] = {}
         self._replaced_until_by_target: dict[str, float] = {}
         self.silent_zones: Callable[[float], frozenset[str]] = lambda now: frozenset()
-        self._changed: list[Callable[[], None]] = []
+        self._change_callbacks: list[Callable[[], None]] = []
 
     def run_lengths(self, service: str) -> RunLengths:
         """Return the run lengths observed for ``service``."""
@@ -77,11 +77,11 @@
 
     def on_change(self, call: Callable[[], None]) -> None:
         """Register ``call`` to be called when counts or targets have changed."""
-        self._changed.append(call)
+        self._change_callbacks.append(call)
 
     def notify_changed(self) -> None:
         """Call what was registered with :meth:`on_change`."""
-        for call in self._changed:
+        for call in self._change_callbacks:
             call()
 
     def usable(
@@ -98,25 +98,27 @@
             for target in self.targets.of_service(service)
             if target.id not in excluded
         ]
-        sound = [target for target in listed if not self._is_out(target.id, now)]
+        healthy = [target for target in listed if not self._is_ejected(target.id, now)]
         silent = self.silent_zones(now)
-        heard = [one for one in sound if one.availability_zone not in silent]
-        return heard or sound or listed
+        reachable = [one for one in healthy if one.availability_zone not in silent]
+        return reachable or healthy or listed
 
     def is_usable(self, id: str, now: float) -> bool:
         """Whether a target is listed, takes new work and is not ejected."""
         target = self.targets.by_id.get(id)
-        return target is not None and not target.draining and not self._is_out(id, now)
+        return (
+            target is not None and not target.draining and not self._is_ejected(id, now)
+        )
 
     def record_item_refusal(self, id: str, now: float) -> None:
         """Record that a target refused an item without running it."""
-        self._refusing_until_by_target[id] = now + REFUSED_FOR_S
+        self._refusing_until_by_target[id] = now + ITEM_REFUSAL_COOLDOWN_S
 
     def mark_replaced(self, id: str, now: float) -> None:
         """Record that another target answered at the address of this one."""
         if self._replaced_until_by_target.get(id, 0.0) <= now:
             log.info("target replaced", target=id)
-        self._replaced_until_by_target[id] = now + REPLACED_FOR_S
+        self._replaced_until_by_target[id] = now + REPLACED_COOLDOWN_S
 
     def takes_items(self, id: str, now: float) -> bool:
         """Whether a target is usable and has not refused an item recently."""
@@ -178,7 +180,7 @@
             if id not in self.targets.by_id:
                 del self._replaced_until_by_target[id]
 
-    def _is_out(self, target: str, now: float) -> bool:
+    def _is_ejected(self, target: str, now: float) -> bool:
         if target in self.unreachable:
             return True
         if self._replaced_until_by_target.get(target, 0.0) > now:
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -48,9 +48,9 @@
 log = logger(__name__)
 
 # A request is sent to a target at most this often, refusals without a run included.
-MOST_OFFERS = 8
+MAX_OFFERS = 8
 NO_TARGET_RETRY_AFTER_S = 0.5
-AT_ONCE_S = 0.05
+IMMEDIATE_RETRY_AFTER_S = 0.05
 
 
 class Forwarder:
@@ -98,60 +98,62 @@
 
         After a failure nothing has been sent to the caller unless ``reply.started``.
         """
-        carriage = ForwardingState(request.resume_after)
+        state = ForwardingState(request.resume_after)
         try:
             async with self._limits.within(request.deadline):
-                return await self._carry(request, reply, carriage)
+                return await self._forward(request, reply, state)
         except TimeoutError:
             reason = "its time is over"
             return ForwardingFailure(
-                reason, not carriage.sent_at_least_once, timed_out=True
+                reason, not state.sent_at_least_once, timed_out=True
             )
 
-    async def _carry(
-        self, request: InboundRequest, reply: Reply, carriage: ForwardingState
+    async def _forward(
+        self, request: InboundRequest, reply: Reply, state: ForwardingState
     ) -> ForwardingFailure | None:
         while True:
-            target = self._place(request, carriage)
+            target = self._place(request, state)
             if isinstance(target, ForwardingFailure):
                 return target
-            held_back = await self._held_back(request, carriage)
-            if held_back is not None:
-                return held_back
-            error = await self._offer(request, reply, carriage, target)
+            refusal = await self._check_quarantine(request, state)
+            if refusal is not None:
+                return refusal
+            error = await self._offer(request, reply, state, target)
             if error is None:
                 return None
-            self._note(request, target, carriage, error)
-            given_up = self._after(request, reply, carriage, error)
-            if given_up is not None:
-                return given_up
+            self._record_failure(request, target, state, error)
+            failure = self._failure_after(request, reply, state, error)
+            if failure is not None:
+                return failure
 
-    async def _held_back(
-        self, request: InboundRequest, carriage: ForwardingState
+    async def _check_quarantine(
+        self, request: InboundRequest, state: ForwardingState
     ) -> ForwardingFailure | None:
         """Return the failure of a request that is in quarantine; else None.
 
         The guard is asked once for each run: an attempt that a target refused without
         running it does not use up the right to a trial.
         """
-        if carriage.admitted_runs == carriage.runs:
+        if state.admitted_runs == state.runs:
             return None
-        if carriage.runs >= QUARANTINE_THRESHOLD:
+        if state.runs >= QUARANTINE_THRESHOLD:
             # This request alone may have crashed that many, faster than the crashes
             # are evaluated.
-            await self._guard.wait_until_judged()
-        carriage.admitted_runs = carriage.runs
+            await self._guard.wait_until_evaluated()
+        state.admitted_runs = state.runs
         if not self._guard.has_suspects:
             return None
-        held = await self._guard.admit(self._mark(request, carriage), request.id)
-        if held is None:
+        refusal = await self._guard.admit(self._fingerprint(request, state), request.id)
+        if refusal is None:
             return None
-        not_run = not carriage.sent_at_least_once
-        return ForwardingFailure(held.reason, not_run, held.retry_after_s)
+        not_run = not state.sent_at_least_once
+        return ForwardingFailure(refusal.reason, not_run, refusal.retry_after_s)
 
-    def _mark(self, request: InboundRequest, carriage: ForwardingState) -> Fingerprint:
-        if carriage.mark is None:
-            carriage.mark = fingerprint_of(
+    def _fingerprint(
+        self, request: InboundRequest, state: ForwardingState
+    ) -> Fingerprint:
+        if state.fingerprint is None:
+            state.fingerprint = fingerprint_of(
                 request.method,
                 request.headers.get("Host", ""),
                 request.path,
@@ -159,34 +161,34 @@
                 end_to_end_headers(request.headers, frozenset()).items(),
                 self._dialect.per_attempt_headers,
             )
-        return carriage.mark
+        return state.fingerprint
 
     def _place(
-        self, request: InboundRequest, carriage: ForwardingState
+        self, request: InboundRequest, state: ForwardingState
     ) -> Target | ForwardingFailure:
         now = asyncio.get_running_loop().time()
         service = request.route.service_for(request.id)
-        refused = frozenset(carriage.refused_by)
+        refused = frozenset(state.tried_targets)
         targets = self._fleet.usable(service, now, refused)
         targets = targets or self._fleet.usable(service, now)
-        not_run = not carriage.sent_at_least_once
+        not_run = not state.sent_at_least_once
         if not targets:
             return ForwardingFailure(
                 "no target of its service", not_run, NO_TARGET_RETRY_AFTER_S
             )
-        if carriage.offers >= MOST_OFFERS:
-            retry_after_s = self._return_after_s(request, now)
+        if state.offers >= MAX_OFFERS:
+            retry_after_s = self._retry_delay_s(request, now)
             return ForwardingFailure("too many refusals", not_run, retry_after_s)
         online_s = self._fleet.run_lengths(service).online_s
         if not_run and self._would_be_cut(service, now):
             # Another instance can send the complete answer.
             return ForwardingFailure(
-                "its answer would be cut by the stop", not_run, AT_ONCE_S
+                "its answer would be cut by the stop", not_run, IMMEDIATE_RETRY_AFTER_S
             )
-        left_s = request.objective - now
-        if carriage.last_event or not not_run:
+        remaining_s = request.objective - now
+        if state.last_event or not not_run:
             # It has started or may have, so its caller cannot be told to retry.
-            left_s = max(left_s, request.route.objective_s)
+            remaining_s = max(remaining_s, request.route.objective_s)
         place = (
             place_online_zone_first if self._fleet.remote_counts_stale else place_online
         )
@@ -195,11 +197,11 @@
             self._fleet.occupancy,
             self._fleet.zone,
             self._fleet.rng,
-            lambda one: max_queued(online_s, one.slots, left_s),
+            lambda one: max_queued(online_s, one.slots, remaining_s),
         )
         if target is not None:
             return target
-        retry_after_s = self._return_after_s(request, now)
+        retry_after_s = self._retry_delay_s(request, now)
         online = sum(self._fleet.occupancy.total_at(one.id).online for one in targets)
         log.info(
             "no room",
@@ -208,7 +210,7 @@
             slots=sum(one.slots for one in targets),
             online=online,
             run_s=round(online_s, 3),
-            objective_in_s=round(left_s, 3),
+            objective_in_s=round(remaining_s, 3),
             retry_after_s=round(retry_after_s, 2),
         )
         return ForwardingFailure("no slot in time", not_run, retry_after_s)
@@ -216,24 +218,24 @@
     def _would_be_cut(self, service: str, now: float) -> bool:
         """Whether a planned stop would cut off an answer that starts now."""
         lengths = self._fleet.run_lengths(service)
-        careful = now >= self._limits.reject_long_from
-        longest_s = lengths.longest_s if careful else 0.0
+        cautious = now >= self._limits.reject_long_from
+        longest_s = lengths.longest_s if cautious else 0.0
         return not finishes_in_time(
             lengths.online_s, longest_s, self._limits.deadline - now
         )
 
-    def _return_after_s(self, request: InboundRequest, now: float) -> float:
+    def _retry_delay_s(self, request: InboundRequest, now: float) -> float:
         return retry_delay_s(request.deadline - now, self._fleet.rng.random())
 
     async def _offer(
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: ForwardingState,
+        state: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
         """Send the request to ``target``; None if its answer was relayed completely."""
-        carriage.offers += 1
+        state.offers += 1
         count = self._fleet.occupancy.total_at(target.id)
         log.info(
             "request placed",
@@ -243,117 +245,119 @@
             online=count.online,
             items=count.items,
             slots=target.slots,
-            offer=carriage.offers,
-            after_event=carriage.last_event,
+            offer=state.offers,
+            after_event=state.last_event,
             left_s=round(request.deadline - asyncio.get_running_loop().time(), 3),
         )
-        at_once = count.online < target.slots
-        sent_events = carriage.last_event
-        began = asyncio.get_running_loop().time()
+        immediate = count.online < target.slots
+        events_before = state.last_event
+        started_at = asyncio.get_running_loop().time()
         self._fleet.occupancy.add(target.id, online=1)
         self._fleet.notify_changed()
         self.on_placed(target.id)
         try:
-            error = await self._attempt_unless_held(request, reply, carriage, target)
+            error = await self._attempt_unless_quarantined(
+                request, reply, state, target
+            )
         except asyncio.CancelledError:
-            if carriage.last_event == sent_events:
-                age_s = asyncio.get_running_loop().time() - began
+            if state.last_event == events_before:
+                age_s = asyncio.get_running_loop().time() - started_at
                 self._guard.record_cancelled_run(
-                    target, self._mark(request, carriage), age_s
+                    target, self._fingerprint(request, state), age_s
                 )
             raise
         finally:
             self._fleet.occupancy.add(target.id, online=-1)
             self._fleet.notify_changed()
-        took_s = asyncio.get_running_loop().time() - began
-        events = carriage.last_event - sent_events
+        took_s = asyncio.get_running_loop().time() - started_at
+        events = state.last_event - events_before
         if isinstance(error, Lost):
             self._guard.record_lost_run(
-                target, self._mark(request, carriage), took_s, events
+                target, self._fingerprint(request, state), took_s, events
             )
         if isinstance(error, Withdrawn):
             self._guard.record_cancelled_run(
-                target, self._mark(request, carriage), took_s
+                target, self._fingerprint(request, state), took_s
             )
         if error is not None:
             return error
-        self._guard.record_good_run(self._mark(request, carriage))
+        self._guard.record_good_run(self._fingerprint(request, state))
         lengths = self._fleet.run_lengths(target.service)
-        lengths.answered(events, took_s, queued=not at_once)
+        lengths.answered(events, took_s, queued=not immediate)
         return None
 
-    async def _attempt_unless_held(
+    async def _attempt_unless_quarantined(
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: ForwardingState,
+        state: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
         """Have ``target`` run the request; cancel it when it gets quarantined."""
-        mark = self._mark(request, carriage)
+        fingerprint = self._fingerprint(request, state)
         limit: asyncio.Timeout | None = None
         try:
-            async with self._waiting.within(request.id, mark, carriage) as limit:
-                return await self._attempt(request, reply, carriage, target)
+            async with self._waiting.within(request.id, fingerprint, state) as limit:
+                return await self._attempt(request, reply, state, target)
         except TimeoutError:
             if limit is None or not limit.expired():
                 raise
             # Ask the guard again, even if the target has not started to answer.
-            carriage.admitted_runs = -1
+            state.admitted_runs = -1
             return Withdrawn("its request is in quarantine")
 
     async def _attempt(
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: ForwardingState,
+        state: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
         """Have ``target`` run the request and relay its answer."""
-        sent_before = carriage.sent_at_least_once
+        sent_before = state.sent_at_least_once
         # Assume that it runs until the outcome is known.
-        carriage.sent_at_least_once = True
-        outbound = self._outbound(request, carriage, target)
-        begin_s = FIRST_EVENT_SILENCE_S if request.route.idempotent else math.inf
-        opened = await self._client.open(target, outbound, begin_s)
+        state.sent_at_least_once = True
+        outbound = self._outbound(request, state, target)
+        head_timeout_s = FIRST_EVENT_SILENCE_S if request.route.idempotent else math.inf
+        opened = await self._client.open(target, outbound, head_timeout_s)
         if isinstance(opened, Err):
             error = opened.err_value
-            _count_unanswered(carriage, error, sent_before)
+            _count_unanswered(state, error, sent_before)
             return error
-        carriage.runs += 1
+        state.runs += 1
         answer = opened.ok_value
         try:
-            return await self._answers.relay(request, reply, carriage, answer)
+            return await self._answers.relay(request, reply, state, answer)
         finally:
             answer.close()
 
     def _outbound(
-        self, request: InboundRequest, carriage: ForwardingState, target: Target
+        self, request: InboundRequest, state: ForwardingState, target: Target
     ) -> Outbound:
         names = self._dialect.headers
         headers = end_to_end_headers(request.headers, self._own_headers)
-        left_s = request.deadline - asyncio.get_running_loop().time()
-        headers[names.deadline] = str(max(1, int(left_s * 1000)))
+        remaining_s = request.deadline - asyncio.get_running_loop().time()
+        headers[names.deadline] = str(max(1, int(remaining_s * 1000)))
         headers[names.incarnation] = target.name
-        if carriage.last_event:
-            headers[names.resume] = str(carriage.last_event)
+        if state.last_event:
+            headers[names.resume] = str(state.last_event)
         return Outbound(request.id, request.method, request.path, headers, request.body)
 
-    def _note(
+    def _record_failure(
         self,
         request: InboundRequest,
         target: Target,
-        carriage: ForwardingState,
+        state: ForwardingState,
         error: AttemptError,
     ) -> None:
         now = asyncio.get_running_loop().time()
-        carriage.refused_by.add(target.id)
+        state.tried_targets.add(target.id)
         self._metrics.attempts.labels(type(error).__name__).inc()
-        asked = {}
+        identity = {}
         if isinstance(error, Lost):
             # Each try has another id; these identify repeats of a lost request.
-            mark = self._mark(request, carriage)
-            asked = {"content": mark.content, "caller": mark.caller}
+            fingerprint = self._fingerprint(request, state)
+            identity = {"content": fingerprint.content, "caller": fingerprint.caller}
         log.info(
             "attempt failed",
             request=request.id,
@@ -361,9 +365,9 @@
             error=type(error).__name__,
             reason=error.reason,
             status=getattr(error, "status", 0),
-            offer=carriage.offers,
-            last_event=carriage.last_event,
-            **asked,
+            offer=state.offers,
+            last_event=state.last_event,
+            **identity,
         )
         if isinstance(error, TargetRefused) and error.replaced:
             self._fleet.mark_replaced(target.id, now)
@@ -372,11 +376,11 @@
         if not _certainly_not_run(error) or isinstance(error, NotSent):
             self._fleet.record_failure(target, error, now)
 
-    def _after(
+    def _failure_after(
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: ForwardingState,
+        state: ForwardingState,
         error: AttemptError,
     ) -> ForwardingFailure | None:
         """Return the failure of the request; None to try another target."""
@@ -386,7 +390,7 @@
             return ForwardingFailure(
                 f"lost at its target: {error.reason}", not_run=False
             )
-        if not carriage.may_retry(request.route):
+        if not state.may_retry(request.route):
             return ForwardingFailure(f"out of attempts: {error.reason}", not_run=False)
         return None
 
@@ -398,12 +402,12 @@
 
 
 def _count_unanswered(
-    carriage: ForwardingState, error: AttemptError, sent_before: bool
+    state: ForwardingState, error: AttemptError, sent_before: bool
 ) -> None:
     """Count an attempt that ended before the head of an answer."""
     if _certainly_not_run(error):
-        carriage.sent_at_least_once = sent_before
+        state.sent_at_least_once = sent_before
         return
-    carriage.runs += 1
+    state.runs += 1
     if isinstance(error, WrongAnswer) or (isinstance(error, Lost) and error.broken_off):
-        carriage.attempts += 1
+        state.attempts += 1
--- a/src/caperridge/gateway/inbound.py
+++ b/src/caperridge/gateway/inbound.py
@@ -129,9 +129,9 @@
         runs: how often a target started to answer it.
         attempts: runs that count against the route's attempts: those that failed and
             those that this instance broke off, not those that the target broke off.
-        refused_by: targets that are used again only if there are no others.
+        tried_targets: targets that are used again only if there are no others.
         sent_at_least_once: it may be running or have run.
-        mark: its fingerprint; None until it is needed.
+        fingerprint: its fingerprint; None until it is needed.
         admitted_runs: value of ``runs`` when the guard last admitted it; -1 if it has
             to be asked again.
     """
@@ -139,12 +139,12 @@
     __slots__ = (
         "admitted_runs",
         "attempts",
+        "fingerprint",
         "last_event",
-        "mark",
         "offers",
-        "refused_by",
         "runs",
         "sent_at_least_once",
+        "tried_targets",
     )
 
     def __init__(self, last_event: int) -> None:
@@ -152,12 +152,12 @@
         self.offers = 0
         self.runs = 0
         self.attempts = 0
-        self.refused_by: set[str] = set()
+        self.tried_targets: set[str] = set()
         self.sent_at_least_once = False
-        self.mark: Fingerprint | None = None
+        self.fingerprint: Fingerprint | None = None
         self.admitted_runs = -1
 
     def may_retry(self, route: Route) -> bool:
         """Whether it may be run once more."""
-        enough = self.attempts >= route.max_attempts
-        return not enough and self.runs < MAX_RUNS
+        exhausted = self.attempts >= route.max_attempts
+        return not exhausted and self.runs < MAX_RUNS
--- a/src/caperridge/gateway/open_runs.py
+++ b/src/caperridge/gateway/open_runs.py
@@ -2,33 +2,33 @@
 
 from collections.abc import Callable
 
-End = Callable[[], None]
+Abort = Callable[[], None]
 
 
 class OpenRuns:
     """The abort callbacks of open attempts, by the id of their target."""
 
-    __slots__ = ("_ends_by_target",)
+    __slots__ = ("_aborts_by_target",)
 
     def __init__(self) -> None:
-        self._ends_by_target: dict[str, set[End]] = {}
+        self._aborts_by_target: dict[str, set[Abort]] = {}
 
-    def add(self, target: str, end: End) -> None:
+    def add(self, target: str, abort: Abort) -> None:
         """Add an attempt, with the callback that aborts it if the target restarts."""
-        self._ends_by_target.setdefault(target, set()).add(end)
+        self._aborts_by_target.setdefault(target, set()).add(abort)
 
-    def remove(self, target: str, end: End) -> None:
+    def remove(self, target: str, abort: Abort) -> None:
         """Remove an attempt that has finished."""
-        ends = self._ends_by_target.get(target)
-        if ends is None:
+        aborts = self._aborts_by_target.get(target)
+        if aborts is None:
             return
-        ends.discard(end)
-        if not ends:
-            del self._ends_by_target[target]
+        aborts.discard(abort)
+        if not aborts:
+            del self._aborts_by_target[target]
 
-    def end_all(self, target: str) -> int:
+    def abort_all(self, target: str) -> int:
         """Abort the attempts at ``target``; return how many there were."""
-        ends = self._ends_by_target.pop(target, set())
-        for end in ends:
-            end()
-        return len(ends)
+        aborts = self._aborts_by_target.pop(target, set())
+        for abort in aborts:
+            abort()
+        return len(aborts)
--- a/src/caperridge/gateway/placement.py
+++ b/src/caperridge/gateway/placement.py
@@ -18,7 +18,7 @@
 # Returns how many requests may queue at a target whose slots all run online requests.
 MaxQueued = Callable[[Target], int]
 # Power of two random choices: nearly as good as the best target, without herding.
-FAR_CHOICES = 2
+REMOTE_CHOICES = 2
 
 
 def no_queue(target: Target) -> int:
@@ -30,8 +30,8 @@
     targets: Sequence[Target],
     occupancy: Occupancy,
     zone: str,
-    chance: random.Random,
-    most_queued: MaxQueued,
+    rng: random.Random,
+    max_queued: MaxQueued,
 ) -> Target | None:
     """Return the target for an online request; None if all queues are full too.
 
@@ -42,7 +42,7 @@
     best_cost: Cost | None = None
     for target in targets:
         elsewhere = target.availability_zone != zone
-        cost = _cost(target, occupancy, elsewhere, chance.random(), most_queued)
+        cost = _cost(target, occupancy, elsewhere, rng.random(), max_queued)
         if cost is None:
             continue
         if best_cost is None or cost.rank < best_cost.rank:
@@ -54,8 +54,8 @@
     targets: Sequence[Target],
     occupancy: Occupancy,
     zone: str,
-    chance: random.Random,
-    most_queued: MaxQueued,
+    rng: random.Random,
+    max_queued: MaxQueued,
 ) -> Target | None:
     """Return the target for an online request when counts of other zones are stale.
 
@@ -64,14 +64,14 @@
     of all, every instance would choose the same target until its count is updated.
     If those two have no slot left, all targets are compared.
     """
-    near = [target for target in targets if target.availability_zone == zone]
-    best = place_online(near, occupancy, zone, chance, no_queue)
+    local = [target for target in targets if target.availability_zone == zone]
+    best = place_online(local, occupancy, zone, rng, no_queue)
     if best is not None:
         return best
-    far = [target for target in targets if target.availability_zone != zone]
-    some = chance.sample(far, min(FAR_CHOICES, len(far)))
-    best = place_online(some, occupancy, zone, chance, no_queue)
-    return best or place_online(targets, occupancy, zone, chance, most_queued)
+    remote = [target for target in targets if target.availability_zone != zone]
+    sampled = rng.sample(remote, min(REMOTE_CHOICES, len(remote)))
+    best = place_online(sampled, occupancy, zone, rng, no_queue)
+    return best or place_online(targets, occupancy, zone, rng, max_queued)
 
 
 class Cost(Record):
@@ -102,7 +102,7 @@
     occupancy: Occupancy,
     elsewhere: bool,
     tie: float,
-    most_queued: MaxQueued,
+    max_queued: MaxQueued,
 ) -> Cost | None:
     """Return the cost of using ``target``; None if it has no room."""
     count = occupancy.total_at(target.id)
@@ -110,7 +110,7 @@
         return Cost(0 + elsewhere, count.total / target.slots, tie)
     if count.online < target.slots:
         return Cost(2 + elsewhere, count.online / target.slots, tie)
-    if count.online < target.slots + most_queued(target):
+    if count.online < target.slots + max_queued(target):
         return Cost(4, count.online - target.slots, elsewhere + tie)
     return None
 
@@ -126,18 +126,18 @@
     The order is the same on every instance: the one whose latest item deadline is the
     last cancels first. Instances that need not cancel any are left out.
     """
-    over = occupancy.total_at(target.id).total - target.slots
-    if over <= 0:
+    excess = occupancy.total_at(target.id).total - target.slots
+    if excess <= 0:
         return {}
-    holders = occupancy.item_counts_by_instance(target.id)
+    counts = occupancy.item_counts_by_instance(target.id)
     order = sorted(
-        holders,
-        key=lambda one: (-holders[one].latest_due, score(target.id, one)),
+        counts,
+        key=lambda one: (-counts[one].latest_due, score(target.id, one)),
     )
-    yielded: dict[str, int] = {}
+    cancelled: dict[str, int] = {}
     for instance in order:
-        if over <= 0:
+        if excess <= 0:
             break
-        yielded[instance] = min(over, holders[instance].items)
-        over -= yielded[instance]
-    return yielded
+        cancelled[instance] = min(excess, counts[instance].items)
+        excess -= cancelled[instance]
+    return cancelled
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -205,7 +205,7 @@
         ]
 
     def _held_requests(self, rows: list[StoredRow], source: str) -> None:
-        self.guard.take_rows(rows, source)
+        self.guard.apply_rows(rows, source)
         self._rows.on_applied(self.guard.rows.copy.table)
 
     def _wire(self) -> None:
--- a/src/caperridge/gateway/request_guard.py
+++ b/src/caperridge/gateway/request_guard.py
@@ -1,8 +1,8 @@
-"""Keeps requests that end targets from the targets that are left.
+"""Quarantine of poison requests, which crash the targets that run them.
 
-Knows requests by what they ask for, whatever their ids and wherever they came. What one
-instance sees is told to all at once; whoever has just started or was cut off is told on
-connecting, and the store keeps it when nobody is left.
+Requests are identified by their fingerprint, whatever their ids and whichever instance
+receives them. Crashes and good runs are announced to all instances at once; peers that
+connect receive what is known then, and the store keeps it if all instances stop.
 """
 
 import asyncio
@@ -29,26 +29,27 @@
 
 # About 200 bytes each.
 MAX_GOOD_RUNS = 1000
-# Bounds the first message to a peer; quarantined requests come first.
+# Bounds the first message to a peer, which lists quarantined requests first.
 MAX_GOSSIP_ENTRIES = 100
-# In a large fleet the witnesses of a good run report it at random moments, so that one
-# report silences the others; all come before the request is judged.
-EXONERATE_WITHIN_S = 0.8 * SETTLE_S
-SWEEP_S = 30.0
-# Longest wait for word of who is to blame, before a request that was lost with several
-# targets is sent to one more.
-MAX_SETTLE_S = 0.3
+# In a large fleet the instances that know of a good run announce it after a random
+# delay, so that the first announcement suppresses the others; all arrive before the
+# request is evaluated.
+MAX_EXONERATION_DELAY_S = 0.8 * SETTLE_S
+SWEEP_INTERVAL_S = 30.0
+# Longest wait until the crashes are evaluated, before a request that was lost with
+# several targets is sent to one more.
+MAX_EVALUATION_WAIT_S = 0.3
 MIN_RETRY_AFTER_S = 0.5
-# Of the ends under a request so many are told in a line of the log.
-MAX_LOGGED_ENDS = 4
+# Crashes under one request in a line of the log.
+MAX_LOGGED_CRASHES = 4
 
 
 class QuarantineRefusal(Record):
-    """A request that is not sent to a target now.
+    """Why a quarantined request is not sent to a target now.
 
     Attributes:
-        reason: a sentence for a person.
-        retry_after_s: until it may be tried again.
+        reason: for the caller and the log.
+        retry_after_s: delay until it may be sent again.
     """
 
     __slots__ = ("reason", "retry_after_s")
@@ -59,26 +60,26 @@
 
 
 class RequestGuard:
-    """Says which requests may be sent; one for an instance.
+    """Decides which requests may be sent to targets; an instance has one.
 
     Attributes:
-        quarantine: what is known of requests.
-        rows: what the store keeps of it.
-        quarantined: called with the content of a request that is newly in quarantine.
+        quarantine: suspected and quarantined requests.
+        rows: their rows in the store.
+        on_quarantined: called with the content of each newly quarantined request.
 
     Args:
-        quarantine: filled and asked.
-        ends: tells of targets that ended.
-        rows: what the store keeps.
-        mesh: of peers.
-        fleet: leaves targets alone that ended.
+        quarantine: suspected and quarantined requests.
+        detector: reports crashed targets and the runs lost there.
+        rows: their rows in the store.
+        mesh: sends and receives reports.
+        fleet: stops using crashed targets.
         metrics: counted into.
     """
 
     def __init__(
         self,
         quarantine: Quarantine,
-        ends: CrashDetector,
+        detector: CrashDetector,
         rows: QuarantineTable,
         mesh: Mesh,
         fleet: Fleet,
@@ -87,127 +88,139 @@
         self.rows = rows
         self.quarantine = quarantine
         self.on_quarantined: Callable[[str], None] = lambda content: None
-        self._ends = ends
+        self._detector = detector
         self._mesh = mesh
         self._fleet = fleet
         self._metrics = metrics
-        self._sound_at: OrderedDict[tuple[str, str], float] = OrderedDict()
-        self._judge_timer: asyncio.TimerHandle | None = None
+        self._good_run_at: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._evaluation_timer: asyncio.TimerHandle | None = None
         self._claiming: set[str] = set()
-        ends.on_crash = self._target_ended
-        mesh.register(TargetEnded, self._peer_lost_runs)
-        mesh.register(SoundRuns, self._peer_ran_well)
-        mesh.register(Suspects, self._peer_suspects)
-        mesh.send_on_connect(self._first_word)
+        detector.on_crash = self._on_target_crash
+        mesh.register(TargetEnded, self._receive_crash)
+        mesh.register(SoundRuns, self._receive_good_runs)
+        mesh.register(Suspects, self._receive_suspects)
+        mesh.send_on_connect(self._suspects_message)
 
-    # Asked before a request is sent.
+    # Before a request is sent.
 
     @property
     def has_suspects(self) -> bool:
-        """Whether anything is held against any request."""
+        """Whether any request is suspected or in quarantine."""
         return bool(self.quarantine.by_content)
 
     @property
     def checking_crashes(self) -> bool:
-        """Whether it is not known yet whether some target ended."""
-        return self._ends.checking
+        """Whether some target is still being checked for a crash."""
+        return self._detector.checking
 
-    def is_quarantined(self, mark: Fingerprint) -> bool:
-        """Whether a request is in quarantine and not to be tried again yet."""
-        hold = self.quarantine.hold_for(mark.content, mark.caller)
+    def is_quarantined(self, fingerprint: Fingerprint) -> bool:
+        """Whether a request is in quarantine and its next trial is not due yet."""
+        hold = self.quarantine.hold_for(fingerprint.content, fingerprint.caller)
         return hold is not None and not hold.is_due(elapsed_s())
 
-    async def admit(self, mark: Fingerprint, request: str) -> QuarantineRefusal | None:
+    async def admit(
+        self, fingerprint: Fingerprint, request: str
+    ) -> QuarantineRefusal | None:
         """Return why a request may not be sent; None if it may.
 
         Args:
-            mark: what it asks for.
+            fingerprint: of the request.
             request: its id, for the log.
         """
-        self._judge()
-        hold = self.quarantine.hold_for(mark.content, mark.caller)
+        self._evaluate()
+        hold = self.quarantine.hold_for(fingerprint.content, fingerprint.caller)
         if hold is None:
             return None
-        suspect = self.quarantine.by_content[mark.content]
-        if hold.is_due(elapsed_s()) and await self._claim(suspect):
+        suspect = self.quarantine.by_content[fingerprint.content]
+        if hold.is_due(elapsed_s()) and await self._claim_trial(suspect):
             self._metrics.held_requests.labels("tried_again").inc()
-            log.warning("request tried again", request=request, **_told(suspect))
+            log.warning(
+                "trial of quarantined request", request=request, **_log_fields(suspect)
+            )
             return None
         self._metrics.held_requests.labels("refused").inc()
-        log.info("request held back", request=request, **_told(suspect))
+        log.info("quarantined request refused", request=request, **_log_fields(suspect))
         now = elapsed_s()
-        left_s = (suspect.hold or hold).next_due(now) - now
+        remaining_s = (suspect.hold or hold).next_due(now) - now
         return QuarantineRefusal(
             f"{len(suspect.crashes)} targets ended while they ran it",
-            max(MIN_RETRY_AFTER_S, left_s),
+            max(MIN_RETRY_AFTER_S, remaining_s),
         )
 
-    async def wait_until_judged(self) -> None:
-        """Wait until it is known who is to blame for what was lost by now."""
+    async def wait_until_evaluated(self) -> None:
+        """Wait until all crashes so far have been evaluated, or for a short time."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + MAX_SETTLE_S
+        until = loop.time() + MAX_EVALUATION_WAIT_S
         while loop.time() < until:
-            if not self._ends.checking and self._judge_timer is None:
+            if not self._detector.checking and self._evaluation_timer is None:
                 return
             await asyncio.sleep(SETTLE_S / 5)
 
-    # Told of runs.
+    # Outcomes of runs.
 
     def record_lost_run(
-        self, target: Target, mark: Fingerprint, age_s: float, events: int
+        self, target: Target, fingerprint: Fingerprint, age_s: float, events: int
     ) -> None:
-        """Note a run whose answer broke off at ``target``."""
-        run = LostRun(mark.content, mark.caller, round(age_s, 3), events)
-        self._ends.record_lost_run(target, run)
+        """Record a run whose answer was broken off by ``target``."""
+        run = LostRun(fingerprint.content, fingerprint.caller, round(age_s, 3), events)
+        self._detector.record_lost_run(target, run)
 
     def record_cancelled_run(
-        self, target: Target, mark: Fingerprint, age_s: float
+        self, target: Target, fingerprint: Fingerprint, age_s: float
     ) -> None:
-        """Note a run that was ended here before it had made an event at ``target``."""
-        run = LostRun(mark.content, mark.caller, round(age_s, 3), events=0)
-        self._ends.record_cancelled_run(target, run)
+        """Record a run at ``target`` that was cancelled here before its first event."""
+        run = LostRun(
+            fingerprint.content, fingerprint.caller, round(age_s, 3), events=0
+        )
+        self._detector.record_cancelled_run(target, run)
 
-    def record_good_run(self, mark: Fingerprint) -> None:
-        """Note that a run ended no target."""
+    def record_good_run(self, fingerprint: Fingerprint) -> None:
+        """Record a run that did not crash its target."""
         now = elapsed_s()
-        key = mark.content, mark.caller
-        self._sound_at.pop(key, None)
-        self._sound_at[key] = now
-        if len(self._sound_at) > MAX_GOOD_RUNS:
-            self._sound_at.popitem(last=False)
-        if self.quarantine.record_good_run(mark.content, mark.caller, now, now):
-            self._cleared(mark.content, self._mesh.instance)
-            self._mesh.send_all(SoundRuns([[mark.content, mark.caller, 0.0]]))
-
-    # Told by peers and by the store.
-
-    def take_rows(self, rows: list[StoredRow], source: str) -> None:
-        """Take rows of held requests that were news."""
+        key = fingerprint.content, fingerprint.caller
+        self._good_run_at.pop(key, None)
+        self._good_run_at[key] = now
+        if len(self._good_run_at) > MAX_GOOD_RUNS:
+            self._good_run_at.popitem(last=False)
+        if self.quarantine.record_good_run(
+            fingerprint.content, fingerprint.caller, now, now
+        ):
+            self._after_good_run(fingerprint.content, self._mesh.instance)
+            self._mesh.send_all(
+                SoundRuns([[fingerprint.content, fingerprint.caller, 0.0]])
+            )
+
+    # Reports of peers and rows of the store.
+
+    def apply_rows(self, rows: list[StoredRow], source: str) -> None:
+        """Apply changed rows of the quarantine table."""
         if self.rows.apply_rows(rows, source):
-            self._judge_soon()
-            self._count()
+            self._schedule_evaluation()
+            self._update_gauge()
 
-    def _target_ended(self, target: Target, runs: list[LostRun]) -> None:
+    def _on_target_crash(self, target: Target, runs: list[LostRun]) -> None:
         log.warning(
             "target ended under requests",
             target=target.id,
             runs=[[run.content, run.caller, run.age_s, run.events] for run in runs],
         )
         self._metrics.target_ends.inc()
-        told = [[run.content, run.caller, run.age_s, run.events] for run in runs]
-        self._mesh.send_all(TargetEnded(target.id, told))
-        self._take_end(target.id, runs, self._mesh.instance)
+        reported = [[run.content, run.caller, run.age_s, run.events] for run in runs]
+        self._mesh.send_all(TargetEnded(target.id, reported))
+        self._record_crash(target.id, runs, self._mesh.instance)
 
-    def _peer_lost_runs(self, peer: str, news: TargetEnded) -> None:
-        runs = [LostRun(*run) for run in news.runs]
-        listed = self._fleet.targets.by_id.get(news.target)
+    def _receive_crash(self, peer: str, report: TargetEnded) -> None:
+        runs = [LostRun(*run) for run in report.runs]
+        listed = self._fleet.targets.by_id.get(report.target)
         if listed is not None:
             self._fleet.mark_crashed(listed)
-        self._take_end(news.target, runs, peer)
+        self._record_crash(report.target, runs, peer)
 
-    def _take_end(self, target: str, runs: list[LostRun], reported_by: str) -> None:
-        news = self.quarantine.record_crash(target, runs, elapsed_s(), reported_by)
-        for content in news:
+    def _record_crash(self, target: str, runs: list[LostRun], reported_by: str) -> None:
+        new_contents = self.quarantine.record_crash(
+            target, runs, elapsed_s(), reported_by
+        )
+        for content in new_contents:
             suspect = self.quarantine.by_content.get(content)
             own = reported_by == self._mesh.instance
             if (
@@ -216,107 +229,107 @@
                 and len(suspect.crashes) >= MIN_STORED_CRASHES
             ):
                 self.rows.schedule_write(content)
-        if news:
-            self._judge_soon()
-        self._say_what_ran_well(runs)
+        if new_contents:
+            self._schedule_evaluation()
+        self._schedule_exoneration(runs)
 
-    def _say_what_ran_well(self, runs: list[LostRun]) -> None:
-        """Exonerate requests that ended well here a short while ago."""
-        sound = [run for run in runs if self._is_sound(run)]
+    def _schedule_exoneration(self, runs: list[LostRun]) -> None:
+        """Exonerate requests that ran well here a short while ago."""
+        sound = [run for run in runs if self._can_exonerate(run)]
         if sound and self._mesh.large:
-            delay_s = EXONERATE_WITHIN_S * self._fleet.rng.random()
+            delay_s = MAX_EXONERATION_DELAY_S * self._fleet.rng.random()
             asyncio.get_running_loop().call_later(delay_s, self._exonerate, sound)
         elif sound:
             self._exonerate(sound)
 
-    def _is_sound(self, run: LostRun) -> bool:
-        """Whether it ended well here a short while ago, and nobody said so."""
-        at = self._sound_at.get((run.content, run.caller))
+    def _can_exonerate(self, run: LostRun) -> bool:
+        """Whether it ran well here recently and no instance has announced that."""
+        at = self._good_run_at.get((run.content, run.caller))
         suspect = self.quarantine.by_content.get(run.content)
         if at is None or suspect is None:
             return False
         now = elapsed_s()
-        said_s = now - suspect.last_good_run_at_for(run.caller)
-        return now - at < GOOD_RUN_TTL_S and said_s > GOOD_RUN_TTL_S / 2
+        since_exonerated_s = now - suspect.last_good_run_at_for(run.caller)
+        return now - at < GOOD_RUN_TTL_S and since_exonerated_s > GOOD_RUN_TTL_S / 2
 
     def _exonerate(self, runs: list[LostRun]) -> None:
         now = elapsed_s()
-        told: list[list[Any]] = []
+        reported: list[list[Any]] = []
         for run in runs:
-            if not self._is_sound(run):
+            if not self._can_exonerate(run):
                 continue
-            at = self._sound_at[run.content, run.caller]
+            at = self._good_run_at[run.content, run.caller]
             self.quarantine.record_good_run(run.content, run.caller, at, now)
-            told.append([run.content, run.caller, round(now - at, 3)])
-        if told:
-            self._mesh.send_all(SoundRuns(told))
+            reported.append([run.content, run.caller, round(now - at, 3)])
+        if reported:
+            self._mesh.send_all(SoundRuns(reported))
 
-    def _peer_ran_well(self, peer: str, news: SoundRuns) -> None:
+    def _receive_good_runs(self, peer: str, report: SoundRuns) -> None:
         now = elapsed_s()
-        for content, caller, ago_s in news.runs:
+        for content, caller, ago_s in report.runs:
             if self.quarantine.record_good_run(content, caller, now - ago_s, now):
-                self._cleared(content, peer)
+                self._after_good_run(content, peer)
 
-    def _cleared(self, content: str, reported_by: str) -> None:
-        """Note a good run of a suspect."""
+    def _after_good_run(self, content: str, reported_by: str) -> None:
+        """Log and store that a suspect ran well."""
         suspect = self.quarantine.by_content[content]
-        log.info("suspect ran well", reported_by=reported_by, **_told(suspect))
+        log.info("suspect ran well", reported_by=reported_by, **_log_fields(suspect))
         self.rows.schedule_write(content)
-        self._count()
+        self._update_gauge()
 
-    # Judging.
+    # Evaluation of suspects.
 
-    def _judge_soon(self) -> None:
-        if self._judge_timer is None:
+    def _schedule_evaluation(self) -> None:
+        if self._evaluation_timer is None:
             loop = asyncio.get_running_loop()
-            self._judge_timer = loop.call_later(SETTLE_S, self._judge_now)
+            self._evaluation_timer = loop.call_later(SETTLE_S, self._run_evaluation)
 
-    def _judge_now(self) -> None:
-        self._judge_timer = None
-        self._judge()
+    def _run_evaluation(self) -> None:
+        self._evaluation_timer = None
+        self._evaluate()
         if self.quarantine.evaluation_pending:
-            self._judge_soon()
+            self._schedule_evaluation()
 
-    def _judge(self) -> None:
+    def _evaluate(self) -> None:
         for suspect in self.quarantine.evaluate(elapsed_s()):
-            log.warning("request put in quarantine", **_told(suspect))
+            log.warning("request put in quarantine", **_log_fields(suspect))
             self.rows.schedule_write(suspect.content)
-            self._count()
+            self._update_gauge()
             self.on_quarantined(suspect.content)
 
-    def _count(self) -> None:
+    def _update_gauge(self) -> None:
         self._metrics.quarantine.set(len(self.quarantine.quarantined()))
 
-    # Telling who knows nothing.
+    # The first message between peers.
 
-    def _first_word(self) -> Suspects:
+    def _suspects_message(self) -> Suspects:
         now = elapsed_s()
-        suspects = sorted(self.quarantine.by_content.values(), key=_held_first)
-        return Suspects([_as_told(one, now) for one in suspects[:MAX_GOSSIP_ENTRIES]])
+        suspects = sorted(self.quarantine.by_content.values(), key=_is_not_quarantined)
+        return Suspects([_encode(one, now) for one in suspects[:MAX_GOSSIP_ENTRIES]])
 
-    def _peer_suspects(self, peer: str, news: Suspects) -> None:
+    def _receive_suspects(self, peer: str, report: Suspects) -> None:
         now = elapsed_s()
-        for content, ends, hold in news.suspects:
-            taken = [
+        for content, crashes, hold in report.suspects:
+            reported = [
                 Crash(target, caller, age_s, events, now - ago_s, by)
-                for target, caller, age_s, events, ago_s, by in ends
+                for target, caller, age_s, events, ago_s, by in crashes
             ]
-            held = None
+            reported_hold = None
             if hold:
                 callers, since_s, trials, trial_in_s = hold
                 since, trial_at = now - since_s, now + trial_in_s
-                held = Hold(frozenset(callers), since, trials, trial_at)
-            if not self.quarantine.merge(content, taken, held):
+                reported_hold = Hold(frozenset(callers), since, trials, trial_at)
+            if not self.quarantine.merge(content, reported, reported_hold):
                 continue
-            told = _told(self.quarantine.by_content[content])
-            log.info("suspect taken", reported_by=peer, **told)
-            self._judge_soon()
-            self._count()
+            fields = _log_fields(self.quarantine.by_content[content])
+            log.info("suspect reported", reported_by=peer, **fields)
+            self._schedule_evaluation()
+            self._update_gauge()
 
-    # Claims, and what is long ago.
+    # Trials and expiry.
 
-    async def _claim(self, suspect: Suspect) -> bool:
-        """Take the right to try a request again, against all others who ask for it."""
+    async def _claim_trial(self, suspect: Suspect) -> bool:
+        """Claim the next trial of a request; only one instance gets it."""
         if suspect.content in self._claiming:
             return False
         self._claiming.add(suspect.content)
@@ -326,36 +339,36 @@
             self._claiming.discard(suspect.content)
 
     async def run(self) -> None:
-        """Forget what is long ago until cancelled."""
+        """Expire old entries periodically until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.quarantine.expire(elapsed_s())
             self.rows.remove_expired()
-            self._count()
+            self._update_gauge()
 
     def state(self) -> list[dict[str, Any]]:
-        """Return what is in quarantine, for people."""
-        return [_told(suspect) for suspect in self.quarantine.quarantined()]
+        """Return the quarantined requests, for the state dump."""
+        return [_log_fields(suspect) for suspect in self.quarantine.quarantined()]
 
 
-def _held_first(suspect: Suspect) -> bool:
+def _is_not_quarantined(suspect: Suspect) -> bool:
     return suspect.hold is None
 
 
-def _told(suspect: Suspect) -> dict[str, Any]:
-    """Return what is known of a suspect, for a line of the log."""
+def _log_fields(suspect: Suspect) -> dict[str, Any]:
+    """Return the log fields that describe a suspect."""
     now = elapsed_s()
     hold = suspect.hold
     return {
         "content": suspect.content,
         "ends": [
             {
-                "target": end.target,
-                "caller": end.caller,
-                "age_s": round(now - end.at, 3),
-                "reported_by": end.reported_by,
+                "target": crash.target,
+                "caller": crash.caller,
+                "age_s": round(now - crash.at, 3),
+                "reported_by": crash.reported_by,
             }
-            for end in suspect.crashes[-MAX_LOGGED_ENDS:]
+            for crash in suspect.crashes[-MAX_LOGGED_CRASHES:]
         ],
         "ends_known": len(suspect.crashes),
         "callers": sorted(hold.callers) if hold is not None else None,
@@ -365,8 +378,8 @@
     }
 
 
-def _as_told(suspect: Suspect, now: float) -> list[Any]:
-    """Return what a peer is told of a suspect."""
+def _encode(suspect: Suspect, now: float) -> list[Any]:
+    """Return the entry of a suspect in a :class:`Suspects` message."""
     hold = suspect.hold
     ends = [
         [e.target, e.caller, e.age_s, e.events, round(now - e.at, 3), e.reported_by]
--- a/src/caperridge/gateway/target_ends.py
+++ b/src/caperridge/gateway/target_ends.py
@@ -18,34 +18,34 @@
 
 # A target that crashes closes its connections; its listening socket is closed by then
 # or shortly after.
-LOOKS_AFTER_S = (0.0, 0.03, 0.2)
+CHECK_DELAYS_S = (0.0, 0.03, 0.2)
 # The entry of a crashed target expires after three missed heartbeats.
-CONFIRMED_WITHIN_S = 6.0
+MAX_CONFIRMATION_S = 6.0
 # The loss of all runs at a target is noticed within one or two iterations of the event
 # loop.
-GATHER_S = 0.005
+COLLECTION_DELAY_S = 0.005
 
 
-class LostRuns:
+class UnconfirmedLosses:
     """Runs lost at a target that has not been confirmed as crashed.
 
     Attributes:
         target: that ran them.
         runs: broken off there and not reported yet.
-        left: cancelled by this instance; lost only if the check of the address finds
-            that the target has crashed.
+        cancelled: cancelled by this instance; lost only if the check of the address
+            finds that the target has crashed.
         timer: discards them if no crash is confirmed in time.
-        look: the running check of its address; None if none runs.
+        check: the running check of its address; None if none runs.
     """
 
-    __slots__ = ("left", "look", "runs", "target", "timer")
+    __slots__ = ("cancelled", "check", "runs", "target", "timer")
 
     def __init__(self, target: Target, timer: asyncio.TimerHandle) -> None:
         self.target = target
         self.runs: list[LostRun] = []
-        self.left: list[LostRun] = []
+        self.cancelled: list[LostRun] = []
         self.timer = timer
-        self.look: asyncio.Task[None] | None = None
+        self.check: asyncio.Task[None] | None = None
 
 
 class CrashDetector:
@@ -65,18 +65,18 @@
         )
         self._fleet = fleet
         self.is_refused = is_refused
-        self._losses_by_target: dict[str, LostRuns] = {}
+        self._losses_by_target: dict[str, UnconfirmedLosses] = {}
         # Crashed targets, for runs whose loss is noticed only later.
-        self._ended: dict[str, asyncio.TimerHandle] = {}
+        self._timers_by_crashed_target: dict[str, asyncio.TimerHandle] = {}
 
     @property
     def checking(self) -> bool:
         """Whether the address of some target is still being checked."""
-        return any(one.look is not None for one in self._losses_by_target.values())
+        return any(one.check is not None for one in self._losses_by_target.values())
 
     def record_lost_run(self, target: Target, run: LostRun) -> None:
         """Record a run whose answer was broken off by ``target``."""
-        losses = self._losses(target, run)
+        losses = self._pending_losses(target, run)
         if losses is not None:
             losses.runs.append(run)
 
@@ -85,17 +85,17 @@
 
         A caller may disconnect at the moment its request crashes the target.
         """
-        losses = self._losses(target, run)
+        losses = self._pending_losses(target, run)
         if losses is not None:
-            losses.left.append(run)
+            losses.cancelled.append(run)
 
-    def _losses(self, target: Target, run: LostRun) -> LostRuns | None:
+    def _pending_losses(self, target: Target, run: LostRun) -> UnconfirmedLosses | None:
         """Return the losses of ``target`` and have its address checked.
 
         Returns None if the run needs no check: it is reported at once if the target is
         known to have crashed, and ignored if the target is draining or not listed.
         """
-        if target.id in self._ended:
+        if target.id in self._timers_by_crashed_target:
             self.on_crash(target, [run])
             return None
         listed = self._fleet.targets.by_id.get(target.id)
@@ -103,10 +103,10 @@
             return None  # a draining target cuts what it cannot finish
         losses = self._losses_by_target.get(target.id)
         if losses is None:
-            losses = self._losses_by_target[target.id] = self._new(target)
-        if losses.look is None:
-            look = self._look(losses)
-            losses.look = asyncio.get_running_loop().create_task(look)
+            losses = self._losses_by_target[target.id] = self._new_losses(target)
+        if losses.check is None:
+            check = self._check_address(losses)
+            losses.check = asyncio.get_running_loop().create_task(check)
         return losses
 
     def target_removed(self, target: Target) -> None:
@@ -116,58 +116,60 @@
         without notice and keep serving for a while; later losses there are not counted.
         """
         if not target.draining and target.id in self._losses_by_target:
-            self._end(target)
+            self._confirm_crash(target)
 
     def target_restarted(self, target: Target) -> None:
         """Record that a later incarnation of a target is listed."""
         if not target.draining:
-            self._end(target)
+            self._confirm_crash(target)
 
     async def close(self) -> None:
         """Cancel all checks."""
-        looks = [one.look for one in self._losses_by_target.values() if one.look]
+        checks = [one.check for one in self._losses_by_target.values() if one.check]
         for losses in list(self._losses_by_target.values()):
-            self._drop(losses)
-        for look in looks:
-            look.cancel()
-        await asyncio.gather(*looks, return_exceptions=True)
+            self._discard(losses)
+        for check in checks:
+            check.cancel()
+        await asyncio.gather(*checks, return_exceptions=True)
 
-    def _new(self, target: Target) -> LostRuns:
+    def _new_losses(self, target: Target) -> UnconfirmedLosses:
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(CONFIRMED_WITHIN_S, self._forget, target.id)
-        return LostRuns(target, timer)
+        timer = loop.call_later(MAX_CONFIRMATION_S, self._expire, target.id)
+        return UnconfirmedLosses(target, timer)
 
-    def _forget(self, target: str) -> None:
+    def _expire(self, target: str) -> None:
         losses = self._losses_by_target.get(target)
         if losses is not None:
-            self._drop(losses)
+            self._discard(losses)
 
-    def _drop(self, losses: LostRuns) -> None:
+    def _discard(self, losses: UnconfirmedLosses) -> None:
         losses.timer.cancel()
         self._losses_by_target.pop(losses.target.id, None)
 
-    async def _look(self, losses: LostRuns) -> None:
+    async def _check_address(self, losses: UnconfirmedLosses) -> None:
         """Check whether the address of a target refuses connections."""
         try:
-            for pause_s in LOOKS_AFTER_S:
-                await asyncio.sleep(pause_s + GATHER_S)
+            for pause_s in CHECK_DELAYS_S:
+                await asyncio.sleep(pause_s + COLLECTION_DELAY_S)
                 if await self.is_refused(losses.target.address):
-                    self._end(losses.target)
+                    self._confirm_crash(losses.target)
                     self._fleet.mark_crashed(losses.target)
                     return
-            losses.left.clear()
+            losses.cancelled.clear()
         finally:
-            losses.look = None
+            losses.check = None
 
-    def _end(self, target: Target) -> None:
+    def _confirm_crash(self, target: Target) -> None:
         losses = self._losses_by_target.get(target.id)
-        if target.id not in self._ended:
+        if target.id not in self._timers_by_crashed_target:
             loop = asyncio.get_running_loop()
-            timer = loop.call_later(CONFIRMED_WITHIN_S, self._ended.pop, target.id)
-            self._ended[target.id] = timer
+            timer = loop.call_later(
+                MAX_CONFIRMATION_S, self._timers_by_crashed_target.pop, target.id
+            )
+            self._timers_by_crashed_target[target.id] = timer
         if losses is None:
             return
-        self._drop(losses)
-        runs = losses.runs + losses.left
+        self._discard(losses)
+        runs = losses.runs + losses.cancelled
         if runs:
             self.on_crash(target, runs)
--- a/src/caperridge/gateway/targets.py
+++ b/src/caperridge/gateway/targets.py
@@ -101,30 +101,32 @@
         self.changes = 0
         self._id_by_name: dict[str, str] = {}
         self._lapsing_until_by_id: dict[str, float] = {}
-        self._store_back_at = float("-inf")
+        self._store_returned_at = float("-inf")
 
     def store_returned(self, now: float) -> None:
         """Record that the store answers again after an outage."""
-        self._store_back_at = now
+        self._store_returned_at = now
 
     def may_have_lapsed(self, now: float) -> bool:
         """Whether an entry removed now may have lapsed during a store outage."""
-        return now < self._store_back_at + LAPSE_GRACE_S
+        return now < self._store_returned_at + LAPSE_GRACE_S
 
     def put(self, target: Target) -> Target | None:
         """Add or replace an entry; return the incarnation that it supersedes, if any.
 
         A restarted target has lost the requests that it ran before.
         """
-        earlier = self.by_id.get(self._id_by_name.get(target.name, ""))
-        over = earlier if earlier is not None and earlier.id != target.id else None
-        if over is not None:
-            self._forget(over.id)
+        previous = self.by_id.get(self._id_by_name.get(target.name, ""))
+        superseded = (
+            previous if previous is not None and previous.id != target.id else None
+        )
+        if superseded is not None:
+            self._discard(superseded.id)
         self._lapsing_until_by_id.pop(target.id, None)
         self.by_id[target.id] = target
         self._id_by_name[target.name] = target.id
         self.changes += 1
-        return over
+        return superseded
 
     def remove(self, name: str, now: float) -> None:
         """Remove the target whose entry is no longer listed.
@@ -136,10 +138,10 @@
         if target is None:
             return
         if self.may_have_lapsed(now) and not target.draining:
-            until = self._store_back_at + LAPSE_GRACE_S
+            until = self._store_returned_at + LAPSE_GRACE_S
             self._lapsing_until_by_id.setdefault(target.id, until)
             return
-        self._forget(target.id)
+        self._discard(target.id)
 
     def discard(self, name: str) -> bool:
         """Drop a target whose entry became invalid; return whether there was one.
@@ -148,7 +150,7 @@
         """
         target = self.find_by_name(name)
         if target is not None:
-            self._forget(target.id)
+            self._discard(target.id)
         return target is not None
 
     def find_by_name(self, name: str) -> Target | None:
@@ -157,10 +159,12 @@
 
     def expire(self, now: float) -> list[str]:
         """Drop lapsed entries that did not reappear in time; return their ids."""
-        gone = [id for id, until in self._lapsing_until_by_id.items() if until <= now]
-        for id in gone:
-            self._forget(id)
-        return gone
+        expired = [
+            id for id, until in self._lapsing_until_by_id.items() if until <= now
+        ]
+        for id in expired:
+            self._discard(id)
+        return expired
 
     def of_service(self, service: str) -> list[Target]:
         """Return the targets of ``service`` that are not draining."""
@@ -170,7 +174,7 @@
             if target.service == service and not target.draining
         ]
 
-    def _forget(self, id: str) -> None:
+    def _discard(self, id: str) -> None:
         target = self.by_id.pop(id, None)
         if target is not None:
             del self._id_by_name[target.name]
--- a/src/caperridge/gateway/upstream.py
+++ b/src/caperridge/gateway/upstream.py
@@ -35,9 +35,9 @@
 # Availability zones are some milliseconds apart, and connecting takes one more. A
 # target that has gone does not respond at all, and its caller expects the first event
 # within 300 ms.
-CONNECT_S = 0.2
-READ_BYTES = 64 * 2**10
-STARTED_AGAIN = "its target started again"
+CONNECT_TIMEOUT_S = 0.2
+READ_BUFFER_BYTES = 64 * 2**10
+TARGET_RESTARTED = "its target started again"
 
 
 class Outbound(Record):
@@ -91,10 +91,10 @@
     """
 
     __slots__ = (
-        "_ended_by",
+        "_failure",
+        "_open_runs",
         "_protocol",
         "_response",
-        "_runs",
         "_splitter",
         "_target",
         "_watch",
@@ -112,9 +112,9 @@
         self._response = response
         self._watch = watch
         self._target = target
-        self._runs = runs
-        self._ended_by: BrokenAnswerError | None = None
-        runs.add(target, self._target_started_again)
+        self._open_runs = runs
+        self._failure: BrokenAnswerError | None = None
+        runs.add(target, self._on_restart)
         self._splitter = EventSplitter()
         # Held here because the response drops its connection at the end of the body.
         connection = response.connection
@@ -124,16 +124,16 @@
 
     async def chunks(
         self,
-        first_s: float = math.inf,
-        next_s: float = math.inf,
-        gather_s: float = 0.0,
+        first_timeout_s: float = math.inf,
+        next_timeout_s: float = math.inf,
+        coalesce_s: float = 0.0,
     ) -> AsyncIterator[bytes]:
         """Yield the body as it is received.
 
         Args:
-            first_s: longest silence before the first chunk, in seconds.
-            next_s: longest silence after that, in seconds.
-            gather_s: data received within this time of a chunk, or before the end of
+            first_timeout_s: longest silence before the first chunk, in seconds.
+            next_timeout_s: longest silence after that, in seconds.
+            coalesce_s: data received within this time of a chunk, or before the end of
                 the body, forms the next chunk. It is lost if the connection breaks
                 in the meantime.
 
@@ -141,47 +141,47 @@
             BrokenAnswerError: the connection ended before the body did.
             SilentAnswerError: no data was received for too long.
         """
-        watched = self._watch.add(first_s, self._fell_silent)
+        watched = self._watch.add(first_timeout_s, self._on_silence)
         loop = asyncio.get_running_loop()
         try:
-            while piece := await self._response.content.readany():
+            while chunk := await self._response.content.readany():
                 watched.heard_at = loop.time()
-                watched.limit_s = next_s
-                yield piece
-                if gather_s:
-                    await self._gather(gather_s)
+                watched.limit_s = next_timeout_s
+                yield chunk
+                if coalesce_s:
+                    await self._coalesce(coalesce_s)
         except (aiohttp.ClientError, OSError) as error:
-            raise self._ended_by or BrokenAnswerError(type(error).__name__) from error
+            raise self._failure or BrokenAnswerError(type(error).__name__) from error
         finally:
             self._watch.remove(watched)
-        if self._ended_by is not None:
-            raise self._ended_by
-        if self._unframed and self._was_reset():
+        if self._failure is not None:
+            raise self._failure
+        if self._is_unframed and self._was_reset():
             raise BrokenAnswerError("an answer without a length was reset")
 
     async def events(
-        self, first_s: float, next_s: float, gather_s: float = 0.0
+        self, first_timeout_s: float, next_timeout_s: float, coalesce_s: float = 0.0
     ) -> AsyncIterator[list[Event]]:
         """Yield the events of the body, those of one chunk together.
 
         Args:
-            first_s: see :meth:`chunks`.
-            next_s: see :meth:`chunks`.
-            gather_s: see :meth:`chunks`.
+            first_timeout_s: see :meth:`chunks`.
+            next_timeout_s: see :meth:`chunks`.
+            coalesce_s: see :meth:`chunks`.
 
         Raises:
             BrokenAnswerError: the body is incomplete or ends within an event.
             SilentAnswerError: no data was received for too long.
         """
-        async for piece in self.chunks(first_s, next_s, gather_s):
-            yield self._splitter.feed(piece)
+        async for chunk in self.chunks(first_timeout_s, next_timeout_s, coalesce_s):
+            yield self._splitter.feed(chunk)
         if self._splitter.rest:
             raise BrokenAnswerError("it ended within an event")
 
-    async def _gather(self, gather_s: float) -> None:
+    async def _coalesce(self, coalesce_s: float) -> None:
         """Wait for more of the body; return early at its end."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(gather_s):
+            async with asyncio.timeout(coalesce_s):
                 await self._response.content.wait_eof()
 
     def buffered_events(self) -> list[Event]:
@@ -198,19 +198,19 @@
 
     def close(self) -> None:
         """Close the connection; the target drops the request if it still runs."""
-        self._runs.remove(self._target, self._target_started_again)
+        self._open_runs.remove(self._target, self._on_restart)
         self._response.close()
 
-    def _fell_silent(self) -> None:
-        self._ended_by = SilentAnswerError("it fell silent")
+    def _on_silence(self) -> None:
+        self._failure = SilentAnswerError("it fell silent")
         self._response.close()
 
-    def _target_started_again(self) -> None:
-        self._ended_by = BrokenAnswerError(STARTED_AGAIN)
+    def _on_restart(self) -> None:
+        self._failure = BrokenAnswerError(TARGET_RESTARTED)
         self._response.close()
 
     @property
-    def _unframed(self) -> bool:
+    def _is_unframed(self) -> bool:
         return (
             "Content-Length" not in self.headers
             and "chunked" not in self.headers.get("Transfer-Encoding", "").lower()
@@ -231,11 +231,11 @@
         self._dialect = dialect
         self._session: aiohttp.ClientSession | None = None
         self._watch = SilenceWatch()
-        self._runs = OpenRuns()
+        self._open_runs = OpenRuns()
 
     def abort_runs(self, target: str) -> int:
         """Abort the attempts at a target that restarted; return how many there were."""
-        return self._runs.end_all(target)
+        return self._open_runs.abort_all(target)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -244,7 +244,7 @@
             await self._session.close()
 
     async def open(
-        self, target: Target, outbound: Outbound, begin_s: float = math.inf
+        self, target: Target, outbound: Outbound, head_timeout_s: float = math.inf
     ) -> Result[Answer, AttemptError]:
         """Send ``outbound`` and return the answer once its head was received.
 
@@ -253,38 +253,40 @@
         Args:
             target: to send to.
             outbound: the request.
-            begin_s: longest time until the head of the answer, in seconds.
+            head_timeout_s: longest time until the head of the answer, in seconds.
         """
-        over = False
-        limit = asyncio.timeout(begin_s if begin_s < math.inf else None)
+        restarted = False
+        limit = asyncio.timeout(head_timeout_s if head_timeout_s < math.inf else None)
 
-        def started_again() -> None:
-            nonlocal over
-            over = True
+        def abort() -> None:
+            nonlocal restarted
+            restarted = True
             limit.reschedule(asyncio.get_running_loop().time())
 
-        self._runs.add(target.id, started_again)
+        self._open_runs.add(target.id, abort)
         try:
             async with limit:
                 return await self._send(target, outbound)
         except TimeoutError:
-            if over:
-                return Err(Lost(STARTED_AGAIN))
+            if restarted:
+                return Err(Lost(TARGET_RESTARTED))
             return Err(Lost("no answer began", broken_off=True))
         finally:
-            self._runs.remove(target.id, started_again)
+            self._open_runs.remove(target.id, abort)
 
     async def _send(
         self, target: Target, outbound: Outbound
     ) -> Result[Answer, AttemptError]:
         try:
-            response = await self._open().request(
+            response = await self._opened_session().request(
                 outbound.method,
                 yarl.URL(f"http://{target.address}{outbound.path}", encoded=True),
                 data=outbound.body or None,
                 headers=outbound.headers,
                 skip_auto_headers=ADDED_HEADERS,
-                timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
+                timeout=aiohttp.ClientTimeout(
+                    total=None, sock_connect=CONNECT_TIMEOUT_S
+                ),
                 allow_redirects=False,
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
@@ -293,40 +295,42 @@
             return Err(Lost(str(error)))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Err(Lost(type(error).__name__))
-        answer = Answer(response, self._watch, target.id, self._runs)
-        return self._checked(outbound, answer)
+        answer = Answer(response, self._watch, target.id, self._open_runs)
+        return self._verify(outbound, answer)
 
     async def get(
-        self, target: Target, path: str, within_s: float
+        self, target: Target, path: str, timeout_s: float
     ) -> Result[bytes, AttemptError]:
         """Return the body of a small answer with status 200 from this target only."""
         try:
-            async with self._open().get(
+            async with self._opened_session().get(
                 yarl.URL(f"http://{target.address}{path}", encoded=True),
                 headers={self._dialect.headers.incarnation: target.name},
-                timeout=aiohttp.ClientTimeout(total=within_s),
+                timeout=aiohttp.ClientTimeout(total=timeout_s),
                 allow_redirects=False,
             ) as response:
                 if response.status != 200:
-                    return Err(self._no_answer(response.status))
+                    return Err(self._refusal(response.status))
                 return Ok(await response.read())
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Err(Lost(type(error).__name__))
 
-    def _no_answer(self, status: int) -> TargetRefused:
+    def _refusal(self, status: int) -> TargetRefused:
         replaced = self._dialect.from_another_target(status)
         return TargetRefused(status, "it gives no answer", replaced=replaced)
 
-    async def is_reachable(self, address: str, within_s: float = CONNECT_S) -> bool:
+    async def is_reachable(
+        self, address: str, timeout_s: float = CONNECT_TIMEOUT_S
+    ) -> bool:
         """Return whether ``address`` accepts connections."""
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await connect(address)
         except (OSError, TimeoutError):
             return False
         return True
 
-    def _checked(
+    def _verify(
         self, outbound: Outbound, answer: Answer
     ) -> Result[Answer, AttemptError]:
         names = self._dialect.headers
@@ -341,15 +345,15 @@
             return Err(WrongAnswer("an answer with the id of another request"))
         return Ok(answer)
 
-    def _open(self) -> aiohttp.ClientSession:
+    def _opened_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0, force_close=True),
                 cookie_jar=aiohttp.DummyCookieJar(),
                 auto_decompress=False,
-                read_bufsize=READ_BYTES,
-                max_line_size=READ_BYTES,
-                max_field_size=READ_BYTES,
+                read_bufsize=READ_BUFFER_BYTES,
+                max_line_size=READ_BUFFER_BYTES,
+                max_field_size=READ_BUFFER_BYTES,
                 middlewares=(loss_is_final,),
             )
         return self._session
--- a/src/caperridge/gateway/waiting_runs.py
+++ b/src/caperridge/gateway/waiting_runs.py
@@ -22,25 +22,25 @@
 
     Attributes:
         request: id of the request.
-        mark: its fingerprint.
-        carriage: its progress.
+        fingerprint: its fingerprint.
+        state: its progress.
         after_event: number of the last event before this run.
         limit: cancels the run.
     """
 
-    __slots__ = ("after_event", "carriage", "limit", "mark", "request")
+    __slots__ = ("after_event", "fingerprint", "limit", "request", "state")
 
     def __init__(
         self,
         request: str,
-        mark: Fingerprint,
-        carriage: ForwardingState,
+        fingerprint: Fingerprint,
+        state: ForwardingState,
         limit: asyncio.Timeout,
     ) -> None:
         self.request = request
-        self.mark = mark
-        self.carriage = carriage
-        self.after_event = carriage.last_event
+        self.fingerprint = fingerprint
+        self.state = state
+        self.after_event = state.last_event
         self.limit = limit
 
 
@@ -54,33 +54,41 @@
     def __init__(self, guard: RequestGuard) -> None:
         self._guard = guard
         self._runs_by_number: dict[int, WaitingRun] = {}
-        guard.on_quarantined = self._withdraw
+        guard.on_quarantined = self._cancel_runs
 
     @contextlib.asynccontextmanager
     async def within(
-        self, request: str, mark: Fingerprint, carriage: ForwardingState
+        self, request: str, fingerprint: Fingerprint, state: ForwardingState
     ) -> AsyncIterator[asyncio.Timeout]:
         """End the block with :class:`TimeoutError` if the run is cancelled.
 
         Args:
             request: id of the request.
-            mark: its fingerprint.
-            carriage: its progress.
+            fingerprint: its fingerprint.
+            state: its progress.
         """
         async with asyncio.timeout(None) as limit:
-            self._runs_by_number[id(limit)] = WaitingRun(request, mark, carriage, limit)
+            self._runs_by_number[id(limit)] = WaitingRun(
+                request, fingerprint, state, limit
+            )
             try:
                 yield limit
             finally:
                 del self._runs_by_number[id(limit)]
 
-    def _withdraw(self, content: str) -> None:
+    def _cancel_runs(self, content: str) -> None:
         """Cancel the runs of a request that has just been quarantined."""
         now = asyncio.get_running_loop().time()
         for run in self._runs_by_number.values():
-            if run.mark.content != content or not self._guard.is_quarantined(run.mark):
+            if run.fingerprint.content != content or not self._guard.is_quarantined(
+                run.fingerprint
+            ):
                 continue
-            if run.carriage.last_event != run.after_event or run.limit.expired():
+            if run.state.last_event != run.after_event or run.limit.expired():
                 continue
-            log.info("run withdrawn", request=run.request, content=content)
+            log.info(
+                "run of quarantined request cancelled",
+                request=run.request,
+                content=content,
+            )
             run.limit.reschedule(now)
--- a/tests/gateway/test_requests_that_end_targets.py
+++ b/tests/gateway/test_requests_that_end_targets.py
@@ -505,7 +505,9 @@
         lambda message, **fields: lines.append({"message": message} | fields),
     )
     await repeat(fleet, "/once/1")
-    (line, *_) = [one for one in lines if one["message"] == "request held back"]
+    (line, *_) = [
+        one for one in lines if one["message"] == "quarantined request refused"
+    ]
     assert line["request"] == f"f{ENOUGH}"
     assert [end["reported_by"] for end in line["ends"]] == ["e-0", "e-1", "e-2"]
     assert {end["target"] for end in line["ends"]} == {
