--- a/src/caperridge/gateway/answer_limits.py
+++ b/src/caperridge/gateway/answer_limits.py
@@ -35,16 +35,16 @@
             finally:
                 self._running.discard(limit)
 
-    def cap(self, until: float, careful_from: float = -math.inf) -> None:
+    def cap(self, deadline: float, reject_long_from: float = -math.inf) -> None:
         """Cap the deadlines of all answers, including those in progress."""
-        self.deadline = until
-        self.reject_long_from = careful_from
+        self.deadline = deadline
+        self.reject_long_from = reject_long_from
         for limit in self._running:
             if limit.expired():
                 continue
             when = limit.when()
-            if when is None or when > until:
-                limit.reschedule(until)
+            if when is None or when > deadline:
+                limit.reschedule(deadline)
 
 
 def _when(deadline: float) -> float | None:
--- a/src/caperridge/gateway/dialect.py
+++ b/src/caperridge/gateway/dialect.py
@@ -164,18 +164,18 @@
     >>> list(end_to_end_headers(head, frozenset()))
     ['X-B']
     """
-    named = {
-        word.strip().lower()
+    connection_headers = {
+        token.strip().lower()
         for value in headers.getall("Connection", [])
-        for word in value.split(",")
+        for token in value.split(",")
     }
-    kept: CIMultiDict[str] = CIMultiDict()
+    end_to_end: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
         lower = name.lower()
-        if lower in HOP_BY_HOP_HEADERS or lower in named or lower in own:
+        if lower in HOP_BY_HOP_HEADERS or lower in connection_headers or lower in own:
             continue
-        kept.add(name, value)
-    return kept
+        end_to_end.add(name, value)
+    return end_to_end
 
 
 # RFC 9110, section 7.6.1, and the message framing, which is per connection.
--- a/src/caperridge/gateway/edge.py
+++ b/src/caperridge/gateway/edge.py
@@ -29,9 +29,9 @@
 # Job ids are part of paths, keys and object names, which have at most 200 bytes.
 JOB_ID = re.compile(r"[A-Za-z0-9._~-]{1,100}")
 # While draining, no request for this long means that callers use other instances.
-QUIET_S = 0.7
-QUIET_LOOK_S = 0.05
-BODY_LIMIT_BYTES = 64 * 2**20
+QUIET_PERIOD_S = 0.7
+QUIET_POLL_INTERVAL_S = 0.05
+MAX_BODY_BYTES = 64 * 2**20
 
 
 class RunningRequest(Record):
@@ -87,7 +87,7 @@
         self._running_by_number: dict[int, RunningRequest] = {}
         self._numbers = itertools.count()
         self._last_arrival = 0.0
-        self._ages_by_route: dict[str, CallerWaits] = {}
+        self._waits_by_route: dict[str, CallerWaits] = {}
 
     @property
     def running(self) -> int:
@@ -106,36 +106,40 @@
             )
 
     def start_draining(
-        self, answers_until: float, careful_from: float = -math.inf
+        self, answers_until: float, reject_long_from: float = -math.inf
     ) -> None:
         """Close connections after their answer, and end all answers in time.
 
         Args:
             answers_until: when the last answer must be complete, on the event loop's
                 clock.
-            careful_from: when the balancer has moved callers to other instances, so
-                that a refused caller is served there at once.
+            reject_long_from: when the balancer has moved callers to other instances,
+                so that a refused caller is served there at once.
         """
         self.closing = True
-        self._limits.cap(answers_until, careful_from)
+        self._limits.cap(answers_until, reject_long_from)
 
-    async def wait_until_quiet(self, from_time: float, until: float) -> None:
-        """Wait until callers have stopped sending, ``from_time`` at the earliest.
+    async def wait_until_quiet(self, earliest: float, until: float) -> None:
+        """Wait until callers have stopped sending.
 
         Kept connections, and those opened before the balancer has moved the callers,
-        may still carry requests for a while; the wait ends at ``until`` in any case.
+        may still carry requests for a while.
+
+        Args:
+            earliest: do not return before, on the event loop's clock.
+            until: return then in any case.
         """
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             now = loop.time()
-            resting = now - self._last_arrival >= QUIET_S and not self.running
-            if now >= from_time and resting:
+            quiet = now - self._last_arrival >= QUIET_PERIOD_S and not self.running
+            if now >= earliest and quiet:
                 return
-            await asyncio.sleep(QUIET_LOOK_S)
+            await asyncio.sleep(QUIET_POLL_INTERVAL_S)
 
     def application(self) -> web.Application:
         """Return the application that serves all paths."""
-        application = web.Application(client_max_size=BODY_LIMIT_BYTES)
+        application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_route("*", "/{path:.*}", self.handle)
         return application
 
@@ -166,7 +170,7 @@
         path = request.raw_path
         paths = self._dialect.paths
         if path.startswith(paths.jobs) or path.startswith(paths.bodies):
-            return await self._read(request)
+            return await self._job_call(request)
         route = table.find(request.host, path)
         if route is None:
             log.info(
@@ -192,9 +196,9 @@
     ) -> web.StreamResponse:
         names = self._dialect.headers
         id = request.headers.get(names.request, "")
-        within_s = min(route.timeout_s, _deadline_s(request, names.deadline))
+        timeout_s = min(route.timeout_s, _deadline_s(request, names.deadline))
         resume = request.headers.get(names.resume, "")
-        age_s = self._age_s(route, request.headers.get(names.deadline, ""))
+        waited_s = self._waited_s(route, request.headers.get(names.deadline, ""))
         inbound = InboundRequest(
             id=id,
             method=request.method,
@@ -203,14 +207,14 @@
             body=body,
             route=route,
             arrived=arrived,
-            deadline=min(arrived + within_s, self._limits.deadline),
-            objective=arrived + (route.objective_s or within_s) - age_s,
+            deadline=min(arrived + timeout_s, self._limits.deadline),
+            objective=arrived + (route.objective_s or timeout_s) - waited_s,
             resume_after=int(resume) if resume.isdigit() else 0,
         )
         reply = AiohttpReply(request, lambda: self.closing)
         self.read_peers()
         try:
-            given_up = await self._forwarder.forward(inbound, reply)
+            failure = await self._forwarder.forward(inbound, reply)
         except asyncio.CancelledError:
             self._metrics.requests.labels(route.kind, "left").inc()
             log.info("caller left", request=id, route=route.name)
@@ -218,11 +222,11 @@
         except (ConnectionError, OSError) as error:
             self._metrics.requests.labels(route.kind, "left").inc()
             log.info("caller left", request=id, route=route.name, reason=str(error))
-            reply.break_off()
+            reply.abort()
             return reply.response or web.Response(status=499)
         loop = asyncio.get_running_loop()
         took_s = round(loop.time() - arrived, 4)
-        if given_up is None:
+        if failure is None:
             assert reply.response is not None
             self._metrics.requests.labels(route.kind, "answered").inc()
             log.info(
@@ -230,39 +234,37 @@
                 request=id,
                 route=route.name,
                 status=reply.response.status,
-                begun_s=reply.begun_after(arrived),
+                begun_s=reply.started_after(arrived),
                 took_s=took_s,
             )
             return reply.response
-        self._metrics.requests.labels(route.kind, _outcome(given_up)).inc()
+        self._metrics.requests.labels(route.kind, _outcome(failure)).inc()
         log.warning(
-            "request given up",
+            "request failed",
             request=id,
             route=route.name,
-            reason=given_up.reason,
-            not_run=given_up.not_run,
-            begun_s=reply.begun_after(arrived),
+            reason=failure.reason,
+            not_run=failure.not_run,
+            begun_s=reply.started_after(arrived),
             took_s=took_s,
         )
         if reply.started:
-            reply.break_off()
+            reply.abort()
             return reply.response
-        return self._given_up(request, given_up)
+        return self._fail(request, failure)
 
-    def _age_s(self, route: Route, deadline_ms: str) -> float:
+    def _waited_s(self, route: Route, deadline_ms: str) -> float:
         """Return how long the caller has waited since its first try, in seconds."""
         if not deadline_ms.isdigit():
             return 0.0
-        ages = self._ages_by_route.setdefault(route.name, CallerWaits())
-        return ages.waited_s(int(deadline_ms))
+        waits = self._waits_by_route.setdefault(route.name, CallerWaits())
+        return waits.waited_s(int(deadline_ms))
 
-    def _given_up(
-        self, request: web.Request, given_up: ForwardingFailure
-    ) -> web.Response:
-        if given_up.not_run:
-            return self._refuse(request, 503, given_up.reason, given_up.retry_after_s)
-        status = 504 if given_up.timed_out else 502
-        return self._refuse(request, status, given_up.reason)
+    def _fail(self, request: web.Request, failure: ForwardingFailure) -> web.Response:
+        if failure.not_run:
+            return self._refuse(request, 503, failure.reason, failure.retry_after_s)
+        status = 504 if failure.timed_out else 502
+        return self._refuse(request, status, failure.reason)
 
     async def _job(
         self, request: web.Request, route: Route, body: bytes, arrived: float
@@ -277,7 +279,7 @@
         answer = await self._jobs.accept(route, request.host, id, job, arrived)
         return self._answer(request, answer.status, answer.reason, answer.retry_after_s)
 
-    async def _read(self, request: web.Request) -> web.StreamResponse:
+    async def _job_call(self, request: web.Request) -> web.StreamResponse:
         paths = self._dialect.paths
         bodies = request.path.startswith(paths.bodies)
         id = request.path.removeprefix(paths.bodies if bodies else paths.jobs)
@@ -297,7 +299,7 @@
         answer = await self._jobs.results(id, int(position), wait_s)
         if answer.page is None:
             return self._without_result(request, answer)
-        return self._sent(
+        return self._finish(
             request,
             web.Response(
                 body=self._dialect.results(answer.page),
@@ -310,7 +312,7 @@
         answer = await self._jobs.body(id, item)
         if answer.body is None:
             return self._without_result(request, answer)
-        return self._sent(request, web.Response(body=answer.body))
+        return self._finish(request, web.Response(body=answer.body))
 
     async def _cancel(self, request: web.Request, id: str) -> web.StreamResponse:
         return self._without_result(request, await self._jobs.cancel(id))
@@ -341,19 +343,19 @@
             response.headers[self._dialect.headers.request] = id
         if retry_after_s > 0:
             response.headers["Retry-After"] = f"{retry_after_s:.2f}"
-        return self._sent(request, response)
+        return self._finish(request, response)
 
-    def _sent(self, request: web.Request, response: web.Response) -> web.Response:
+    def _finish(self, request: web.Request, response: web.Response) -> web.Response:
         if self.closing:
             response.force_close()
             response.headers["Connection"] = "close"
         return response
 
 
-def _outcome(given_up: ForwardingFailure) -> str:
-    if given_up.timed_out:
+def _outcome(failure: ForwardingFailure) -> str:
+    if failure.timed_out:
         return "timed_out"
-    return "refused" if given_up.not_run else "failed"
+    return "refused" if failure.not_run else "failed"
 
 
 def _deadline_s(request: web.Request, name: str) -> float:
--- a/src/caperridge/gateway/events.py
+++ b/src/caperridge/gateway/events.py
@@ -2,8 +2,8 @@
 
 from caperridge.records import Record
 
-_END = b"\n\n"
-_END_CRLF = b"\r\n\r\n"
+_EVENT_END = b"\n\n"
+_EVENT_END_CRLF = b"\r\n\r\n"
 _ID = b"id:"
 _DATA = b"data:"
 
@@ -62,8 +62,8 @@
             return self._feed_mixed(pending)
         # Runs for each read of each stream, so all events are split in one pass that
         # ignores other line endings.
-        *parts, self.rest = pending.split(_END)
-        return [Event(_id_of(part), part + _END) for part in parts]
+        *parts, self.rest = pending.split(_EVENT_END)
+        return [Event(_id_of(part), part + _EVENT_END) for part in parts]
 
     def _feed_mixed(self, pending: bytes) -> list[Event]:
         """Return complete events of a stream with mixed line endings."""
@@ -81,10 +81,10 @@
 def _end_of_event(pending: bytes) -> int:
     """Return the length of the first complete event; -1 if there is none."""
     ends: list[int] = []
-    for mark in (_END, _END_CRLF):
-        at = pending.find(mark)
+    for delimiter in (_EVENT_END, _EVENT_END_CRLF):
+        at = pending.find(delimiter)
         if at >= 0:
-            ends.append(at + len(mark))
+            ends.append(at + len(delimiter))
     return min(ends, default=-1)
 
 
--- a/src/caperridge/gateway/fields.py
+++ b/src/caperridge/gateway/fields.py
@@ -46,31 +46,31 @@
         value = self._by_name.get(name)
         if isinstance(value, str) and value:
             return value
-        self._wrong(name, "must be a text")
+        self._add_finding(name, "must be a text")
         return ""
 
-    def choice(self, name: str, words: tuple[str, ...]) -> str:
-        """Return one of ``words``."""
+    def choice(self, name: str, choices: tuple[str, ...]) -> str:
+        """Return one of ``choices``."""
         value = self._by_name.get(name)
-        if isinstance(value, str) and value in words:
+        if isinstance(value, str) and value in choices:
             return value
-        self._wrong(name, f"must be one of {', '.join(words)}")
-        return words[0]
+        self._add_finding(name, f"must be one of {', '.join(choices)}")
+        return choices[0]
 
-    def integer(self, name: str, least: int, most: int) -> int:
-        """Return an integer from ``least`` to ``most``."""
+    def integer(self, name: str, minimum: int, maximum: int) -> int:
+        """Return an integer from ``minimum`` to ``maximum``."""
         value = self._by_name.get(name)
-        if type(value) is int and least <= value <= most:
+        if type(value) is int and minimum <= value <= maximum:
             return value
-        self._wrong(name, f"must be a whole number from {least} to {most}")
-        return least
+        self._add_finding(name, f"must be a whole number from {minimum} to {maximum}")
+        return minimum
 
     def number(self, name: str) -> float:
         """Return a number."""
         value = self._by_name.get(name)
         if type(value) in (int, float):
             return float(value)
-        self._wrong(name, "must be a number")
+        self._add_finding(name, "must be a number")
         return 0.0
 
     def address(self, name: str) -> str:
@@ -78,7 +78,7 @@
         value = self._by_name.get(name)
         if isinstance(value, str) and is_address(value):
             return value
-        self._wrong(name, "must be IP:PORT")
+        self._add_finding(name, "must be IP:PORT")
         return ""
 
     def check(self) -> None:
@@ -90,7 +90,7 @@
         if self._findings:
             raise DecodeError("; ".join(str(finding) for finding in self._findings))
 
-    def _wrong(self, name: str, message: str) -> None:
+    def _add_finding(self, name: str, message: str) -> None:
         message = message if name in self._by_name else f"{message}, but is missing"
         self._findings.append(Finding(self._source, name, message))
 
--- a/src/caperridge/gateway/fingerprint.py
+++ b/src/caperridge/gateway/fingerprint.py
@@ -35,7 +35,7 @@
     path: str,
     body: bytes,
     headers: Iterable[tuple[str, str]],
-    changing: frozenset[str],
+    volatile: frozenset[str],
 ) -> Fingerprint:
     """Return the fingerprint of a request.
 
@@ -45,7 +45,7 @@
         path: with the query.
         body: the complete body.
         headers: those that are forwarded.
-        changing: lower-case names of headers that differ from try to try.
+        volatile: lower-case names of headers that differ from try to try.
 
     >>> sent = [("X-Id", "1"), ("X-Team", "a")]
     >>> one = fingerprint_of("POST", "h", "/p", b"?", sent, frozenset({"x-id"}))
@@ -60,10 +60,10 @@
         content.update(part.encode(errors="surrogateescape"))
         content.update(b"\x00")
     content.update(body)
-    kept = sorted(
-        (name.lower(), value) for name, value in headers if name.lower() not in changing
+    stable = sorted(
+        (name.lower(), value) for name, value in headers if name.lower() not in volatile
     )
     caller = hashlib.blake2b(
-        repr(kept).encode(errors="surrogateescape"), digest_size=CALLER_BYTES
+        repr(stable).encode(errors="surrogateescape"), digest_size=CALLER_BYTES
     )
     return Fingerprint(content.hexdigest(), caller.hexdigest())
--- a/src/caperridge/gateway/reply.py
+++ b/src/caperridge/gateway/reply.py
@@ -24,13 +24,13 @@
         self._request = request
         self._closing = closing
         self.response: web.StreamResponse | None = None
-        self._begun_at: float | None = None
+        self._started_at: float | None = None
 
-    def begun_after(self, since: float) -> float | None:
+    def started_after(self, since: float) -> float | None:
         """Return the seconds from ``since`` to the answer's start; None before it."""
-        if self._begun_at is None:
+        if self._started_at is None:
             return None
-        return round(self._begun_at - since, 4)
+        return round(self._started_at - since, 4)
 
     @property
     def started(self) -> bool:
@@ -42,7 +42,7 @@
     ) -> None:
         """See :meth:`Reply.send_whole`."""
         response = web.Response(status=status, body=body, headers=headers)
-        self._mark(response)
+        self._prepare_head(response)
         self.response = response
         await response.prepare(self._request)
         await response.write_eof()
@@ -50,7 +50,7 @@
     async def start(self, status: int, headers: CIMultiDict[str]) -> None:
         """See :meth:`Reply.start`."""
         response = web.StreamResponse(status=status, headers=headers)
-        self._mark(response)
+        self._prepare_head(response)
         self.response = response
         await response.prepare(self._request)
 
@@ -64,14 +64,14 @@
         assert self.response is not None
         await self.response.write_eof()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that the caller sees an incomplete answer."""
         transport = self._request.transport
         if transport is not None:
             transport.abort()
 
-    def _mark(self, response: web.StreamResponse) -> None:
-        self._begun_at = asyncio.get_running_loop().time()
+    def _prepare_head(self, response: web.StreamResponse) -> None:
+        self._started_at = asyncio.get_running_loop().time()
         if self._closing():
             response.force_close()
             response.headers["Connection"] = "close"
--- a/src/caperridge/gateway/routes.py
+++ b/src/caperridge/gateway/routes.py
@@ -115,8 +115,8 @@
         >>> route.service_for("any")
         'b'
         """
-        whole = sum(share.weight for share in self.shares)
-        point = xxhash.xxh3_64_intdigest(request.encode()) / 2**64 * whole
+        total = sum(share.weight for share in self.shares)
+        point = xxhash.xxh3_64_intdigest(request.encode()) / 2**64 * total
         for share in self.shares:
             point -= share.weight
             if point < 0:
@@ -215,9 +215,9 @@
         True
         """
         name = host.partition(":")[0].lower()
-        bare = path.partition("?")[0]
+        path_only = path.partition("?")[0]
         for route in self._routes_by_host.get(name, ()):
-            if bare.startswith(route.path_prefix):
+            if path_only.startswith(route.path_prefix):
                 return route
         return None
 
--- a/tests/gateway/test_answers_in_a_stop.py
+++ b/tests/gateway/test_answers_in_a_stop.py
@@ -265,5 +265,5 @@
     await world.ready()
     now = asyncio.get_running_loop().time()
     instance.fleet.run_lengths("model").longest_s = 59.0
-    instance.edge.start_draining(now + 60.0, careful_from=now + 50.0)
+    instance.edge.start_draining(now + 60.0, reject_long_from=now + 50.0)
     assert (await world.ask(instance, "/once/1", "r1")).data == runner.text("r1")
