--- a/src/caperridge/gateway/waiting_runs.py
+++ b/src/caperridge/gateway/waiting_runs.py
@@ -1,7 +1,7 @@
-"""Runs that have made no event yet, cancelled when their request is quarantined.
+"""Cancels runs without an event yet when their request is quarantined.
 
-A target runs what it has queued even after other instances have learnt that the request
-crashes targets. Closing the connection has it dropped.
+A target runs the requests in its queue even after instances have found out that one of
+them crashes targets. Closing the connection makes the target drop that request.
 """
 
 import asyncio
@@ -21,26 +21,26 @@
     """One run of one request.
 
     Attributes:
-        request: its id.
-        mark: what the request asks for.
-        carriage: of the request.
+        request: id of the request.
+        fingerprint: its fingerprint.
+        state: its progress.
         after_event: number of the last event before this run.
-        limit: ends the run.
+        limit: cancels the run.
     """
 
-    __slots__ = ("after_event", "carriage", "limit", "mark", "request")
+    __slots__ = ("after_event", "fingerprint", "limit", "request", "state")
 
     def __init__(
         self,
         request: str,
-        mark: Fingerprint,
-        carriage: ForwardingState,
+        fingerprint: Fingerprint,
+        state: ForwardingState,
         limit: asyncio.Timeout,
     ) -> None:
         self.request = request
-        self.mark = mark
-        self.carriage = carriage
-        self.after_event = carriage.last_event
+        self.fingerprint = fingerprint
+        self.state = state
+        self.after_event = state.last_event
         self.limit = limit
 
 
@@ -48,39 +48,47 @@
     """The runs of one instance.
 
     Args:
-        guard: says which requests are in quarantine.
+        guard: knows which requests are in quarantine.
     """
 
     def __init__(self, guard: RequestGuard) -> None:
         self._guard = guard
         self._runs_by_number: dict[int, WaitingRun] = {}
-        guard.on_quarantined = self._withdraw
+        guard.on_quarantined = self._cancel_runs
 
     @contextlib.asynccontextmanager
     async def within(
-        self, request: str, mark: Fingerprint, carriage: ForwardingState
+        self, request: str, fingerprint: Fingerprint, state: ForwardingState
     ) -> AsyncIterator[asyncio.Timeout]:
-        """End the block with :class:`TimeoutError` if the run is withdrawn.
+        """End the block with :class:`TimeoutError` if the run is cancelled.
 
         Args:
-            request: its id.
-            mark: what it asks for.
-            carriage: of the request.
+            request: id of the request.
+            fingerprint: its fingerprint.
+            state: its progress.
         """
         async with asyncio.timeout(None) as limit:
-            self._runs_by_number[id(limit)] = WaitingRun(request, mark, carriage, limit)
+            self._runs_by_number[id(limit)] = WaitingRun(
+                request, fingerprint, state, limit
+            )
             try:
                 yield limit
             finally:
                 del self._runs_by_number[id(limit)]
 
-    def _withdraw(self, content: str) -> None:
-        """Cancel the runs of a request that is in quarantine from now on."""
+    def _cancel_runs(self, content: str) -> None:
+        """Cancel the runs of a request that has just been quarantined."""
         now = asyncio.get_running_loop().time()
         for run in self._runs_by_number.values():
-            if run.mark.content != content or not self._guard.is_quarantined(run.mark):
+            if run.fingerprint.content != content or not self._guard.is_quarantined(
+                run.fingerprint
+            ):
                 continue
-            if run.carriage.last_event != run.after_event or run.limit.expired():
+            if run.state.last_event != run.after_event or run.limit.expired():
                 continue
-            log.info("run withdrawn", request=run.request, content=content)
+            log.info(
+                "run of quarantined request cancelled",
+                request=run.request,
+                content=content,
+            )
             run.limit.reschedule(now)
