--- a/src/caperridge/gateway/fingerprint.py
+++ b/src/caperridge/gateway/fingerprint.py
@@ -1,8 +1,8 @@
-"""What a request asks for, told by a few bytes, so that its repeats are known again.
+"""Fingerprints of requests, by which repeats of one request are recognised.
 
-Each try of a caller has an id of its own. What stays the same is the content (method,
-host, path and body) and, as a rule, the headers that say for whom it is asked. Callers
-that are alike in all of them are one caller here: a balancer may hide their addresses.
+Each try of a caller has its own id. The content (method, host, path and body) stays the
+same, and usually so do the headers that identify the caller. Callers whose headers are
+all the same count as one, because a balancer may hide their addresses.
 """
 
 import hashlib
@@ -15,11 +15,11 @@
 
 
 class Fingerprint(Record):
-    """Of one request.
+    """The fingerprint of one request.
 
     Attributes:
-        content: of method, host, path and body, in hex.
-        caller: of the headers that a caller keeps from try to try, in hex.
+        content: hash of method, host, path and body, in hex.
+        caller: hash of the headers that a caller repeats at each try, in hex.
     """
 
     __slots__ = ("caller", "content")
@@ -35,17 +35,17 @@
     path: str,
     body: bytes,
     headers: Iterable[tuple[str, str]],
-    changing: frozenset[str],
+    volatile: frozenset[str],
 ) -> Fingerprint:
     """Return the fingerprint of a request.
 
     Args:
-        method: of HTTP.
+        method: HTTP method.
         host: that it was sent to.
         path: with the query.
-        body: whole.
-        headers: those that are passed on.
-        changing: lower-case names of headers that differ from try to try.
+        body: the complete body.
+        headers: those that are forwarded.
+        volatile: lower-case names of headers that differ from try to try.
 
     >>> sent = [("X-Id", "1"), ("X-Team", "a")]
     >>> one = fingerprint_of("POST", "h", "/p", b"?", sent, frozenset({"x-id"}))
@@ -60,10 +60,10 @@
         content.update(part.encode(errors="surrogateescape"))
         content.update(b"\x00")
     content.update(body)
-    kept = sorted(
-        (name.lower(), value) for name, value in headers if name.lower() not in changing
+    stable = sorted(
+        (name.lower(), value) for name, value in headers if name.lower() not in volatile
     )
     caller = hashlib.blake2b(
-        repr(kept).encode(errors="surrogateescape"), digest_size=CALLER_BYTES
+        repr(stable).encode(errors="surrogateescape"), digest_size=CALLER_BYTES
     )
     return Fingerprint(content.hexdigest(), caller.hexdigest())
--- a/src/caperridge/gateway/target_ends.py
+++ b/src/caperridge/gateway/target_ends.py
@@ -1,8 +1,8 @@
-"""Finding out that targets ended, and which runs were lost with each.
+"""Crash detection for targets, with the runs that each crash took along.
 
-A connection that breaks says little: targets break off answers, too. A target has ended
-if nothing listens at its address, a later life of it is listed, or its entry goes, all
-without notice that it leaves.
+A broken connection is weak evidence, as healthy targets break off answers too. A target
+has crashed if, without having announced that it drains, its address refuses
+connections, a later incarnation of it is listed, or its entry is removed.
 """
 
 import asyncio
@@ -16,45 +16,47 @@
 
 log = logger(__name__)
 
-# A target that crashes closes its connections; its door is closed then or a moment
-# later.
-LOOKS_AFTER_S = (0.0, 0.03, 0.2)
-# Until the entry of a target that crashed goes, which is after three heartbeats of it.
-CONFIRMED_WITHIN_S = 6.0
-# Runs that are lost with a target are noticed within one turn of the loop or two.
-GATHER_S = 0.005
+# A target that crashes closes its connections; its listening socket is closed by then
+# or shortly after.
+CHECK_DELAYS_S = (0.0, 0.03, 0.2)
+# The entry of a crashed target expires after three missed heartbeats.
+MAX_CONFIRMATION_S = 6.0
+# The loss of all runs at a target is noticed within one or two iterations of the event
+# loop.
+COLLECTION_DELAY_S = 0.005
 
 
-class LostRuns:
-    """Runs that were lost at one target of which it is not known whether it ended.
+class UnconfirmedLosses:
+    """Runs lost at a target that has not been confirmed as crashed.
 
     Attributes:
-        target: where they were.
-        runs: that were lost and not told yet.
-        left: runs that were ended here; lost only if the target is seen to have ended.
-        timer: drops them if nothing shows that the target ended.
-        look: at its address; None once that is over.
+        target: that ran them.
+        runs: broken off there and not reported yet.
+        cancelled: cancelled by this instance; lost only if the check of the address
+            finds that the target has crashed.
+        timer: discards them if no crash is confirmed in time.
+        check: the running check of its address; None if none runs.
     """
 
-    __slots__ = ("left", "look", "runs", "target", "timer")
+    __slots__ = ("cancelled", "check", "runs", "target", "timer")
 
     def __init__(self, target: Target, timer: asyncio.TimerHandle) -> None:
         self.target = target
         self.runs: list[LostRun] = []
-        self.left: list[LostRun] = []
+        self.cancelled: list[LostRun] = []
         self.timer = timer
-        self.look: asyncio.Task[None] | None = None
+        self.check: asyncio.Task[None] | None = None
 
 
 class CrashDetector:
-    """Tells which runs were lost with targets that ended.
+    """Reports crashed targets with the runs that were lost there.
 
     Attributes:
-        told: called with a target that ended and the runs that were lost there.
-        is_refused: looks at an address.
+        on_crash: called with a crashed target and the runs lost there.
+        is_refused: returns whether an address refuses connections.
 
     Args:
-        fleet: whose targets are listed.
+        fleet: holds the listed targets and stops using the crashed ones.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -63,105 +65,111 @@
         )
         self._fleet = fleet
         self.is_refused = is_refused
-        self._losses_by_target: dict[str, LostRuns] = {}
-        # Targets that have ended, for runs of which that is noticed later.
-        self._ended: dict[str, asyncio.TimerHandle] = {}
+        self._losses_by_target: dict[str, UnconfirmedLosses] = {}
+        # Crashed targets, for runs whose loss is noticed only later.
+        self._timers_by_crashed_target: dict[str, asyncio.TimerHandle] = {}
 
     @property
     def checking(self) -> bool:
-        """Whether it is not known yet of some target whether it ended."""
-        return any(one.look is not None for one in self._losses_by_target.values())
+        """Whether the address of some target is still being checked."""
+        return any(one.check is not None for one in self._losses_by_target.values())
 
     def record_lost_run(self, target: Target, run: LostRun) -> None:
-        """Take note of a run whose answer broke off at ``target``."""
-        losses = self._losses(target, run)
+        """Record a run whose answer was broken off by ``target``."""
+        losses = self._pending_losses(target, run)
         if losses is not None:
             losses.runs.append(run)
 
     def record_cancelled_run(self, target: Target, run: LostRun) -> None:
-        """Take note of a run that this instance ended, as its caller left.
+        """Record a run that this instance cancelled because its caller disconnected.
 
-        A caller may leave in the moment in which its request ends the target.
+        A caller may disconnect at the moment its request crashes the target.
         """
-        losses = self._losses(target, run)
+        losses = self._pending_losses(target, run)
         if losses is not None:
-            losses.left.append(run)
+            losses.cancelled.append(run)
 
-    def _losses(self, target: Target, run: LostRun) -> LostRuns | None:
-        """Return where to note a run at ``target``, which is looked at; or tell it."""
-        if target.id in self._ended:
+    def _pending_losses(self, target: Target, run: LostRun) -> UnconfirmedLosses | None:
+        """Return the losses of ``target`` and have its address checked.
+
+        Returns None if the run needs no check: it is reported at once if the target is
+        known to have crashed, and ignored if the target is draining or not listed.
+        """
+        if target.id in self._timers_by_crashed_target:
             self.on_crash(target, [run])
             return None
         listed = self._fleet.targets.by_id.get(target.id)
         if listed is None or listed.draining:
-            return None  # it leaves, and ends what it has not done
+            return None  # a draining target cuts what it cannot finish
         losses = self._losses_by_target.get(target.id)
         if losses is None:
-            losses = self._losses_by_target[target.id] = self._new(target)
-        if losses.look is None:
-            look = self._look(losses)
-            losses.look = asyncio.get_running_loop().create_task(look)
+            losses = self._losses_by_target[target.id] = self._new_losses(target)
+        if losses.check is None:
+            check = self._check_address(losses)
+            losses.check = asyncio.get_running_loop().create_task(check)
         return losses
 
     def target_removed(self, target: Target) -> None:
-        """Take note that a target is not listed any more.
+        """Record that a target is no longer listed.
 
-        What was lost before was lost as it ended. Some targets leave without notice and
-        serve on for a while; what is lost at such a one later is not counted.
+        Runs lost there before are counted as lost in a crash. Some targets leave
+        without notice and keep serving for a while; later losses there are not counted.
         """
         if not target.draining and target.id in self._losses_by_target:
-            self._end(target)
+            self._confirm_crash(target)
 
     def target_restarted(self, target: Target) -> None:
-        """Take note that a later life of a target is listed."""
+        """Record that a later incarnation of a target is listed."""
         if not target.draining:
-            self._end(target)
+            self._confirm_crash(target)
 
     async def close(self) -> None:
-        """End all looks."""
-        looks = [one.look for one in self._losses_by_target.values() if one.look]
+        """Cancel all checks."""
+        checks = [one.check for one in self._losses_by_target.values() if one.check]
         for losses in list(self._losses_by_target.values()):
-            self._drop(losses)
-        for look in looks:
-            look.cancel()
-        await asyncio.gather(*looks, return_exceptions=True)
+            self._discard(losses)
+        for check in checks:
+            check.cancel()
+        await asyncio.gather(*checks, return_exceptions=True)
 
-    def _new(self, target: Target) -> LostRuns:
+    def _new_losses(self, target: Target) -> UnconfirmedLosses:
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(CONFIRMED_WITHIN_S, self._forget, target.id)
-        return LostRuns(target, timer)
+        timer = loop.call_later(MAX_CONFIRMATION_S, self._expire, target.id)
+        return UnconfirmedLosses(target, timer)
 
-    def _forget(self, target: str) -> None:
+    def _expire(self, target: str) -> None:
         losses = self._losses_by_target.get(target)
         if losses is not None:
-            self._drop(losses)
+            self._discard(losses)
 
-    def _drop(self, losses: LostRuns) -> None:
+    def _discard(self, losses: UnconfirmedLosses) -> None:
         losses.timer.cancel()
         self._losses_by_target.pop(losses.target.id, None)
 
-    async def _look(self, losses: LostRuns) -> None:
-        """See whether anything listens where a target was."""
+    async def _check_address(self, losses: UnconfirmedLosses) -> None:
+        """Check whether the address of a target refuses connections."""
         try:
-            for pause_s in LOOKS_AFTER_S:
-                await asyncio.sleep(pause_s + GATHER_S)
+            for pause_s in CHECK_DELAYS_S:
+                await asyncio.sleep(pause_s + COLLECTION_DELAY_S)
                 if await self.is_refused(losses.target.address):
-                    self._end(losses.target)
+                    self._confirm_crash(losses.target)
                     self._fleet.mark_crashed(losses.target)
                     return
-            losses.left.clear()
+            losses.cancelled.clear()
         finally:
-            losses.look = None
+            losses.check = None
 
-    def _end(self, target: Target) -> None:
+    def _confirm_crash(self, target: Target) -> None:
         losses = self._losses_by_target.get(target.id)
-        if target.id not in self._ended:
+        if target.id not in self._timers_by_crashed_target:
             loop = asyncio.get_running_loop()
-            timer = loop.call_later(CONFIRMED_WITHIN_S, self._ended.pop, target.id)
-            self._ended[target.id] = timer
+            timer = loop.call_later(
+                MAX_CONFIRMATION_S, self._timers_by_crashed_target.pop, target.id
+            )
+            self._timers_by_crashed_target[target.id] = timer
         if losses is None:
             return
-        self._drop(losses)
-        runs = losses.runs + losses.left
+        self._discard(losses)
+        runs = losses.runs + losses.cancelled
         if runs:
             self.on_crash(target, runs)
