--- a/src/caperridge/decisions/suspects.py
+++ b/src/caperridge/decisions/suspects.py
@@ -1,36 +1,36 @@
-"""What is known of a request that was at targets as they ended, and when to hold it."""
+"""Per-request crash history and circuit breaking: when a suspect is quarantined."""
 
 from caperridge.records import Record
 
 # Two crashes can be coincidence; each further one costs a target for seconds.
 QUARANTINE_THRESHOLD = 3
-# A request that ran well so recently is hardly to blame, even if a small fleet crashes
-# as a whole.
+# A request that completed this recently is unlikely to be the cause, even if a small
+# fleet crashes as a whole.
 GOOD_RUN_TTL_S = 10.0
 QUARANTINE_THRESHOLD_AFTER_GOOD_RUN = 6
-# Reports of one target that come within this time are of one end. A target takes
-# seconds to start again.
+# Reports about one target within this time describe the same crash, since a target
+# takes seconds to restart.
 SAME_CRASH_WINDOW_S = 1.5
-# Until a request in quarantine is tried again, from the first time to the last, which
-# is kept to. Each try may cost a target, so there are three in two minutes at most.
+# Delays before the first and each further trial of a quarantined request; the last one
+# repeats. Each trial may cost a target, so there are at most three in two minutes.
 TRIAL_DELAYS_S = (1.0, 10.0, 60.0, 900.0, 3600.0)
-# The first try is for requests that are in demand: were one held that is not to blame,
-# its callers would be refused for a second instead of ten. One that nobody has sent
-# again by then has time.
+# The early first trial is for requests in demand: if a request is quarantined wrongly,
+# its callers are refused for one second instead of ten. A request that no caller has
+# repeated within this window can wait for the second delay.
 FIRST_TRIAL_WINDOW_S = 1.0
-# What is remembered of each request, some 100 bytes each.
+# Bounds on the history of each request; entries take about 100 bytes.
 MAX_CRASHES = 12
 MAX_CALLERS = 12
 
 
 class LostRun(Record):
-    """A run that was at a target when that ended.
+    """A run that was active at a target when the target crashed.
 
     Attributes:
-        content: what was asked for.
-        caller: for whom, by the headers that came with it.
-        age_s: how long it had been there.
-        events: that it had made there.
+        content: key of the requested content.
+        caller: identity of the caller, from the request headers.
+        age_s: seconds that the run had been at the target.
+        events: number of events that it had produced there.
     """
 
     __slots__ = ("age_s", "caller", "content", "events")
@@ -43,15 +43,15 @@
 
 
 class Crash(Record):
-    """A target ended while a request was there.
+    """A crash of a target while it ran a request.
 
     Attributes:
-        target: its id.
-        caller: of the run that was there.
-        age_s: of that run.
-        events: that the run had made.
-        at: when.
-        reported_by: instance that saw it.
+        target: id of the target.
+        caller: caller of the lost run.
+        age_s: seconds that the run had been at the target.
+        events: number of events that the run had produced.
+        at: time of the crash.
+        reported_by: instance that observed it.
     """
 
     __slots__ = ("age_s", "at", "caller", "events", "reported_by", "target")
@@ -73,18 +73,18 @@
         self.reported_by = reported_by
 
     def matches(self, target: str, at: float) -> bool:
-        """Whether a report of ``target`` at that time is of this end."""
+        """Whether a report about ``target`` at time ``at`` describes this crash."""
         return self.target == target and abs(self.at - at) < SAME_CRASH_WINDOW_S
 
 
 class Hold(Record):
-    """A request is in quarantine.
+    """The quarantine of a request.
 
     Attributes:
-        callers: for whom it is held; empty for all that it was not sound for.
-        since: when that was found.
-        trials: how often it was tried again.
-        trial_at: when it may be tried again.
+        callers: callers it applies to; empty for all callers without a good run.
+        since: when the request was quarantined.
+        trials: number of trials so far.
+        trial_at: earliest time of the next trial.
     """
 
     __slots__ = ("callers", "since", "trial_at", "trials")
@@ -99,159 +99,164 @@
 
     @property
     def _first_trial_until(self) -> float:
-        """Until when the first try may be made at once; it is over after one."""
+        """When the early first trial expires; in the past once a trial was made."""
         return float("-inf") if self.trials else self.trial_at + FIRST_TRIAL_WINDOW_S
 
     def is_due(self, now: float) -> bool:
-        """Whether the request may be tried again."""
+        """Whether a trial is allowed at ``now``."""
         return self.next_due(now) <= now
 
     def next_due(self, now: float) -> float:
-        """Return from when on the request may be tried again, as of ``now``."""
+        """Return the earliest time of the next trial, as of ``now``."""
         if self.trials or now < self._first_trial_until:
             return self.trial_at
         return self.since + TRIAL_DELAYS_S[1]
 
     def after_trial(self, now: float) -> "Hold":
-        """Return the hold from the moment on in which somebody tries again."""
+        """Return the hold that applies once a trial starts at ``now``."""
         early = now < self._first_trial_until
         trials = self.trials + (1 if early or self.trials else 2)
         return Hold(self.callers, self.since, trials, now + trial_delay_s(trials))
 
 
 class Suspect:
-    """What is known of one content that was at an end.
+    """The crash history of one content.
 
     Attributes:
-        content: what is asked for.
-        ends: oldest first.
-        hold: it is in quarantine; else None.
+        content: key of the requested content.
+        crashes: oldest first.
+        hold: its quarantine; None if it is not quarantined.
     """
 
-    __slots__ = ("_cleared_at", "_sound_at_by_caller", "content", "crashes", "hold")
+    __slots__ = ("_cleared_at", "_good_run_at_by_caller", "content", "crashes", "hold")
 
     def __init__(self, content: str) -> None:
         self.content = content
         self._cleared_at = float("-inf")
         self.crashes: list[Crash] = []
         self.hold: Hold | None = None
-        self._sound_at_by_caller: dict[str, float] = {}
+        self._good_run_at_by_caller: dict[str, float] = {}
 
-    def add_crash(self, end: Crash) -> bool:
-        """Take an end; False if it is known."""
-        if any(one.matches(end.target, end.at) for one in self.crashes):
+    def add_crash(self, crash: Crash) -> bool:
+        """Add a crash; return False if it was reported before."""
+        if any(one.matches(crash.target, crash.at) for one in self.crashes):
             return False
-        self.crashes.append(end)
+        self.crashes.append(crash)
         del self.crashes[:-MAX_CRASHES]
         return True
 
     def remove_crashes(self, shared: list[Crash]) -> None:
-        """Forget the ends that another request is to blame for."""
+        """Remove crashes that are attributed to another request."""
         self.crashes = [
-            end
-            for end in self.crashes
-            if not any(other.matches(end.target, end.at) for other in shared)
+            crash
+            for crash in self.crashes
+            if not any(other.matches(crash.target, crash.at) for other in shared)
         ]
 
     @property
     def last_good_run_at(self) -> float:
-        """When it last ran well, for whomever."""
-        return max([self._cleared_at, *self._sound_at_by_caller.values()])
+        """When it last completed for any caller, or was cleared."""
+        return max([self._cleared_at, *self._good_run_at_by_caller.values()])
 
     def last_good_run_at_for(self, caller: str) -> float:
-        """When it last ran well for ``caller``."""
-        return self._sound_at_by_caller.get(caller, float("-inf"))
+        """Return when it last completed for ``caller``."""
+        return self._good_run_at_by_caller.get(caller, float("-inf"))
 
     def clear(self, at: float) -> None:
-        """Hold nothing against it that was known by then."""
+        """Discard the hold and all crashes up to ``at``."""
         self._cleared_at = at
         self.hold = None
-        self.crashes = [end for end in self.crashes if end.at > at]
+        self.crashes = [crash for crash in self.crashes if crash.at > at]
 
     def record_good_run(self, caller: str, at: float, now: float) -> None:
-        """Note that it ran well for ``caller``, now or a while ago."""
+        """Record that it completed for ``caller`` at time ``at``."""
         covered = self.is_quarantined_for(caller)
-        before = self._sound_at_by_caller.pop(caller, at)
-        self._sound_at_by_caller[caller] = max(at, before)
-        if len(self._sound_at_by_caller) > MAX_CALLERS:
-            del self._sound_at_by_caller[next(iter(self._sound_at_by_caller))]
-        for_all = self.hold is not None and not self.hold.callers
-        if covered and for_all:
-            self.crashes = [end for end in self.crashes if end.at > at]
+        before = self._good_run_at_by_caller.pop(caller, at)
+        self._good_run_at_by_caller[caller] = max(at, before)
+        if len(self._good_run_at_by_caller) > MAX_CALLERS:
+            del self._good_run_at_by_caller[next(iter(self._good_run_at_by_caller))]
+        for_all_callers = self.hold is not None and not self.hold.callers
+        if covered and for_all_callers:
+            self.crashes = [crash for crash in self.crashes if crash.at > at]
         self.crashes = [
-            end for end in self.crashes if end.caller != caller or end.at > at
+            crash for crash in self.crashes if crash.caller != caller or crash.at > at
         ]
         if covered and self.blamed_callers(now, now) is None:
             self.hold = None
 
-    def merge(self, ends: list[Crash], hold: Hold | None) -> bool:
-        """Take what was kept elsewhere, unless it ran well since; whether it was news.
+    def merge(self, crashes: list[Crash], hold: Hold | None) -> bool:
+        """Merge crashes and a hold from the store or a peer; return whether any is new.
 
-        Of two holds that with more trials is the later one.
+        Entries older than the last good run are ignored. Of two holds, the one with
+        more trials is the later one.
         """
-        news = False
-        for end in ends:
-            if end.at > self.last_good_run_at:
-                news = self.add_crash(end) or news
+        changed = False
+        for crash in crashes:
+            if crash.at > self.last_good_run_at:
+                changed = self.add_crash(crash) or changed
         self.crashes.sort(key=_by_time)
         if hold is None or hold.since <= self.last_good_run_at:
-            return news
+            return changed
         if self.hold is not None and self.hold.trials >= hold.trials:
-            return news
+            return changed
         self.hold = hold
         return True
 
     def is_quarantined_for(self, caller: str) -> bool:
-        """Whether it is in quarantine for ``caller``."""
+        """Whether the quarantine applies to ``caller``."""
         return self.hold is not None and self._covers(self.hold, caller)
 
     def _covers(self, hold: Hold, caller: str) -> bool:
         if hold.callers:
             return caller in hold.callers
-        return caller not in self._sound_at_by_caller
+        return caller not in self._good_run_at_by_caller
 
     def blamed_callers(self, now: float, by: float) -> frozenset[str] | None:
-        """Return for whom enough targets ended ``by`` then, as of ``now``.
+        """Return the callers whose crashes up to time ``by`` reach the threshold.
 
-        Empty for all callers, None for nobody.
+        An empty set means all callers, None means no caller.
 
-        Whose headers change from try to try is never seen twice. So ends of several
-        callers count together, unless it ran well for any of them meanwhile.
+        A caller whose headers differ in each attempt never appears twice. So crashes of
+        several callers are counted together, unless the request completed for any of
+        them in between.
         """
-        ends = [end for end in self.crashes if end.at <= by]
-        since = [end for end in ends if end.at > self.last_good_run_at]
-        several = len({end.caller for end in since}) > 1
-        if several and len(since) >= _crash_threshold(now - self.last_good_run_at):
+        crashes = [crash for crash in self.crashes if crash.at <= by]
+        since = [crash for crash in crashes if crash.at > self.last_good_run_at]
+        several_callers = len({crash.caller for crash in since}) > 1
+        if several_callers and len(since) >= _crash_threshold(
+            now - self.last_good_run_at
+        ):
             return frozenset()
         blamed: set[str] = set()
-        for caller in {end.caller for end in ends}:
-            count = sum(1 for end in ends if end.caller == caller)
+        for caller in {crash.caller for crash in crashes}:
+            count = sum(1 for crash in crashes if crash.caller == caller)
             if count >= _crash_threshold(now - self.last_good_run_at_for(caller)):
                 blamed.add(caller)
         return frozenset(blamed) if blamed else None
 
     @property
     def mean_progress(self) -> tuple[float, float]:
-        """Of two at the same ends, the one with less of it is to blame.
+        """Mean events and mean age in seconds of its runs at their crashes.
 
-        One that ends targets had hardly begun at each; others were at any point.
+        Of two requests at the same crashes, the one with less progress is the cause: it
+        has just started at each of them, while others are at any point.
         """
-        events = sum(end.events for end in self.crashes)
-        age_s = sum(end.age_s for end in self.crashes)
+        events = sum(crash.events for crash in self.crashes)
+        age_s = sum(crash.age_s for crash in self.crashes)
         return events / len(self.crashes), age_s / len(self.crashes)
 
 
-def _crash_threshold(sound_ago_s: float) -> int:
-    """Return how many ends are enough for one that ran well so long ago."""
+def _crash_threshold(good_run_age_s: float) -> int:
+    """Return the threshold for a request whose last good run is this long ago."""
     return (
         QUARANTINE_THRESHOLD_AFTER_GOOD_RUN
-        if sound_ago_s < GOOD_RUN_TTL_S
+        if good_run_age_s < GOOD_RUN_TTL_S
         else QUARANTINE_THRESHOLD
     )
 
 
 def trial_delay_s(trials: int) -> float:
-    """Return how long a request is held that was tried again so often.
+    """Return the seconds until the next trial after ``trials`` trials.
 
     >>> [trial_delay_s(trials) for trials in (0, 1, 9)]
     [1.0, 10.0, 3600.0]
@@ -259,5 +264,5 @@
     return TRIAL_DELAYS_S[min(trials, len(TRIAL_DELAYS_S) - 1)]
 
 
-def _by_time(end: Crash) -> float:
-    return end.at
+def _by_time(crash: Crash) -> float:
+    return crash.at
