--- a/src/caperridge/decisions/quarantine.py
+++ b/src/caperridge/decisions/quarantine.py
@@ -121,7 +121,7 @@
         return changed
 
     def clear(self, content: str, at: float) -> bool:
-        """Discard the crashes and the hold of a content; return False if it has none."""
+        """Discard the crashes and hold of a content; return False if it has none."""
         suspect = self.by_content.get(content)
         if suspect is None or (suspect.hold is None and not suspect.crashes):
             return False
--- a/src/caperridge/decisions/runner_headroom.py
+++ b/src/caperridge/decisions/runner_headroom.py
@@ -1,4 +1,4 @@
-"""What a batch dispatcher knows of one target: its online load, bursts and steps."""
+"""Load state of one target at its batch dispatcher: online requests, bursts, steps."""
 
 import math
 
@@ -7,26 +7,26 @@
 from caperridge.decisions.online_counts import OnlineCounts
 from caperridge.decisions.step_time import StepTimeModel
 
-FIRST_REACTION_S = 0.02
-FIRST_STEP_S = 0.03
-MOST_HOLD_STEPS = 3.0
-HOLD_STEPS_SPAN = 2.0  # fewer steps the more the trade is for throughput
-MOST_PAUSE_STEPS = 2.0  # after an arrival; none where the trade is for throughput
+INITIAL_REACTION_S = 0.02
+INITIAL_STEP_S = 0.03
+MAX_HOLD_STEPS = 3.0
+HOLD_STEPS_SPAN = 2.0  # steps saved when the trade-off is all for throughput
+MAX_PAUSE_STEPS = 2.0  # after an arrival; none when the trade-off is for throughput
 MAX_DEFERRAL_STEPS = 6.0
-PEER_RESERVE_S = 30.0  # places are kept so long after the last request of a peer
+PEER_RESERVE_S = 30.0  # slots stay reserved this long after the last request of a peer
 
 
 class RunnerHeadroom:
-    """What is known of one target; see :mod:`caperridge.decisions.headroom`."""
+    """The load state of one target; see :mod:`caperridge.decisions.headroom`."""
 
     __slots__ = (
         "burst",
         "counts",
         "filled_at",
         "guard",
+        "has_peers",
         "owned_since",
-        "peers",
-        "peers_until",
+        "peer_reserve_until",
         "reaction_s",
         "steps",
     )
@@ -36,52 +36,55 @@
         self.burst = BurstEstimate()
         self.steps = StepTimeModel()
         self.guard = FirstTokenGuard()
-        self.reaction_s = FIRST_REACTION_S
+        self.reaction_s = INITIAL_REACTION_S
         self.owned_since: float | None = None
         self.filled_at = -math.inf
-        self.peers = True
-        self.peers_until = 0.0
+        self.has_peers = True
+        self.peer_reserve_until = 0.0
 
-    def peers_send(self, now: float) -> bool:
-        """Return whether requests of peers are to be reckoned with.
+    def expects_peer_requests(self, now: float) -> bool:
+        """Return whether slots must be reserved for requests from peers.
 
-        Their news may have effect after they arrive. The first one after a long
-        quiet may wait a step for that; runners without online requests keep nothing.
+        Such a request may arrive before the peer's update takes effect. Targets without
+        recent requests from peers reserve nothing, so the first request after a long
+        idle period may wait for one step.
         """
-        return self.peers and now < self.peers_until
+        return self.has_peers and now < self.peer_reserve_until
 
     def online(self, now: float) -> int:
-        """Return the online requests known, and let the estimate follow them.
+        """Return the known online requests, and update the burst estimate.
 
-        They change by news, by a sender's end, and by news that expires.
+        The count changes when an update arrives, when a sender is removed, and when an
+        update expires.
         """
         online = self.counts.total(now)
         if online != self.burst.online:
             self.burst.record(online, self.reaction_s, now)
         return online
 
-    def quiet(self, now: float) -> bool:
-        """Return whether no online request runs here or has arrived of late."""
+    def is_online_idle(self, now: float) -> bool:
+        """Return whether no online request runs here or arrived recently."""
         return self.online(now) == 0 and self.burst.max_arrivals(now) == 0
 
     def hold_s(self, batch_weight: float, now: float) -> float:
-        """Return how long a place that online freed is held for its next request."""
+        """Return the seconds for which a freed slot is held for an online request."""
         step_s = self.step_s(self.online(now), now)
-        return step_s * (MOST_HOLD_STEPS - HOLD_STEPS_SPAN * batch_weight)
+        return step_s * (MAX_HOLD_STEPS - HOLD_STEPS_SPAN * batch_weight)
 
     def pause_s(self, batch_weight: float, now: float) -> float:
-        """Return how long to start nothing, since an online prompt is prefilled.
+        """Return the seconds to start nothing while an online prompt is prefilled.
 
-        Prompts in one step add up; a step later the stream disturbs less. Arrivals
-        without end must not keep batch out, so it is put off for some steps at most.
+        Prompts in one step add up, so a stream that starts a step later delays online
+        tokens less. Continuous arrivals must not starve batch, so it is deferred for
+        :data:`MAX_DEFERRAL_STEPS` steps at most.
         """
         step_s = self.step_s(self.online(now), now)
         if now - self.filled_at >= MAX_DEFERRAL_STEPS * step_s:
             return 0.0
-        pause_s = step_s * MOST_PAUSE_STEPS * (1 - batch_weight)
+        pause_s = step_s * MAX_PAUSE_STEPS * (1 - batch_weight)
         return max(0.0, self.burst.arrived_at + pause_s - now)
 
     def step_s(self, streams: int, now: float) -> float:
-        """Return how long a step with ``streams`` takes, as far as is known."""
+        """Return the expected seconds of a step with ``streams`` streams."""
         line = self.steps.line(now)
-        return FIRST_STEP_S if line is None else line.at(streams)
+        return INITIAL_STEP_S if line is None else line.at(streams)
--- a/src/caperridge/decisions/target_state.py
+++ b/src/caperridge/decisions/target_state.py
@@ -1,4 +1,4 @@
-"""What one instance knows of a target, and how a target is scored with it."""
+"""Scoring of targets: an instance's view of a target and the expected delay there."""
 
 from math import exp
 from typing import Any
@@ -8,36 +8,37 @@
 from caperridge.records import Record
 from caperridge.store.interface import ListedMember
 
-NEWS_LASTS_S = 5.0
-FADES_S = 0.2  # by `measure routing`, with reports a second apart
-OTHERS_FOLLOW = 10
-MOST_FOLLOW = 3.0  # times the usual load
-LATENCY_HALVES_S = 5.0
+REPORT_TTL_S = 5.0
+REPORT_DECAY_S = 0.2  # for reports that arrive once a second
+HERD_FACTOR = 10
+MAX_HERD_RATIO = 3.0  # of the usual load
+LATENCY_HALF_LIFE_S = 5.0
 LATENCY_GAIN = 0.3
 
-LOAD_S = 0.02  # by which one more sequence delays the others at its target
-HOLD_S = 1.0  # that a running request holds its place, roughly
-PREFILL_S = 0.00005  # for one prompt token that is not cached
-OTHER_ZONE_S = 0.04  # the way there, and that less is known of its targets
-STRIKE_S = 0.25
-SILENT_S = 0.1  # between events of a target is usual while it prefills
-SILENCE_WEIGHT = 4.0
-SILENT_FULL_S = 0.5  # all streams of a target: it hangs, or ours wait inside it
-MOST_SILENCE_S = 2.0
-LATENCY_SHARE = 0.5
-WRONG_VERSION_S = 5.0
-NO_ADAPTER_S = 1.0
+SEQUENCE_DELAY_S = 0.02  # delay that one more sequence causes the others at its target
+SLOT_TIME_S = 1.0  # approximate time for which a running request occupies its slot
+PREFILL_S_PER_TOKEN = 0.00005  # for a prompt token that is not cached
+OTHER_ZONE_PENALTY_S = 0.04  # network latency, and less current data on its targets
+STRIKE_PENALTY_S = 0.25
+SILENCE_GRACE_S = 0.1  # a target that prefills is usually silent for this long
+SILENCE_PENALTY_FACTOR = 4.0
+# When all streams of a target are silent for longer, it hangs or has queued them.
+MAX_SILENCE_S = 0.5
+MAX_SILENCE_PENALTY_S = 2.0
+LATENCY_WEIGHT = 0.5
+WRONG_VERSION_PENALTY_S = 5.0
+MISSING_ADAPTER_PENALTY_S = 1.0
 
 
 class RequestProfile(Record):
-    """What a request wants of a target.
+    """The properties of a request that routing considers.
 
     Attributes:
-        tokens: of its prompt.
+        tokens: length of the prompt.
         tokens_by_target: leading tokens that targets probably have cached.
-        version: of the model; empty if it does not matter.
-        adapter: empty for none.
-        most_running: requests that a target of the service runs at once.
+        version: required version of the model; empty for any.
+        adapter: required adapter; empty for none.
+        most_running: requests that a target of the service runs concurrently.
     """
 
     __slots__ = ("adapter", "most_running", "tokens", "tokens_by_target", "version")
@@ -58,16 +59,16 @@
 
 
 class TargetReport(Record):
-    """What is heard of a target's load; it lags.
+    """A report of a target's load; it lags.
 
     Attributes:
-        waiting: sequences that wait inside the target.
-        online: online requests of all instances there; -1 if nobody counted.
-        own_then: those of this instance when the report came.
-        usual: requests of others that targets of the service have on average.
-        at: when it came, on the own clock.
-        version: that the target says it has loaded; empty if not said.
-        adapters: that it says it has loaded; None if not said.
+        waiting: sequences queued inside the target.
+        online: online requests of all instances there; -1 if not counted.
+        own_then: those of this instance when the report arrived.
+        usual: average requests of other instances at targets of the service.
+        at: time of arrival on the local clock.
+        version: model version that the target reports; empty if it reports none.
+        adapters: adapters that the target reports as loaded; None if not reported.
     """
 
     __slots__ = (
@@ -100,18 +101,19 @@
 
 
 class TargetState(Record):
-    """What one instance knows of a target.
+    """The view that one instance has of a target.
 
     Attributes:
         member: its entry in the platform's list.
-        in_flight: online requests of this instance now at it.
-        leaving: sticky for its incarnation, whoever said it first.
-        since: when it was first listed; 0 if it was there from the start.
-        health: what speaks against it.
+        in_flight: online requests of this instance at the target.
+        leaving: sticky for its incarnation, whichever source reported it first.
+        since: when it was first listed; 0 if it was listed at start-up.
+        health: its failures and ejections.
         report: the newest report of its load; None if there is none.
-        first_token_s: of late, by own requests and peers' word; 0 if unknown.
-        first_token_at: when that was last noted.
-        heard_at: when an event last came from it, or it got its first request.
+        first_token_s: recent time to first token, from own requests and reports of
+            peers; 0 if unknown.
+        first_token_at: when that was last updated.
+        heard_at: when it last sent an event, or got the first request in flight.
     """
 
     __slots__ = (
@@ -149,105 +151,109 @@
         self.heard_at = heard_at
 
     def load(self, now: float) -> int:
-        """Return the online requests at the target, as far as is known.
+        """Return the known number of online requests at the target.
 
-        The own count is exact. What others have is the last word minus the own
-        share of that time, and lapses when no new word comes.
+        The own count is exact. The count of other instances is the last report minus
+        the own requests at that time; it expires if no new report arrives.
         """
         report = self.report
-        if report is None or report.at + NEWS_LASTS_S < now:
+        if report is None or report.at + REPORT_TTL_S < now:
             return self.in_flight
         return self.in_flight + max(0, report.online - report.own_then)
 
     def expected_load(self, now: float) -> float:
-        """Return the online requests that are probably at the target by now.
+        """Return the estimated number of online requests at the target at ``now``.
 
-        A report says what was. Whoever trusts it to the end sends everything, with
-        all others, to what looked idle then. So its word fades towards the usual
-        load, and what this instance has sent there since, others have too.
+        A report describes the past. If all instances trusted it until the next one,
+        all would send everything to the target that looked idle (herding). So the
+        reported load decays towards the usual load, and other instances are assumed to
+        have sent requests there since in proportion to this instance's own.
         """
         report = self.report
         if report is None:
             return self.in_flight
         age_s = now - report.at
-        if age_s > NEWS_LASTS_S:
+        if age_s > REPORT_TTL_S:
             return self.in_flight
         others = max(0, report.online - report.own_then)
-        expected = report.usual + (others - report.usual) * exp(-age_s / FADES_S)
+        expected = report.usual + (others - report.usual) * exp(-age_s / REPORT_DECAY_S)
         since = self.in_flight - report.own_then
         if since > 0:
-            expected += min(OTHERS_FOLLOW * since, MOST_FOLLOW * report.usual)
+            expected += min(HERD_FACTOR * since, MAX_HERD_RATIO * report.usual)
         return self.in_flight + expected
 
     def has_capacity(self, most_running: int, now: float) -> bool:
         """Return whether one more request would start soon at the target.
 
-        A few above ``most_running`` keep the target busy while the word of an end
-        is on its way; what exceeds that waits here, where shares and deadlines count.
+        A few requests above ``most_running`` keep the target busy while the report of a
+        finished one is in transit. Further requests wait in this instance, where shares
+        and deadlines apply.
 
-        A hung target looks empty each time its requests are moved away. While all
-        others are full it would get the whole queue, so a target that returned from
-        an ejection gets one request at a time, and a silent one nothing more.
+        A hung target looks empty each time its requests are moved away, and would get
+        the whole queue while all other targets are full. So a target that returned from
+        an ejection gets one request at a time, and a silent one gets no more.
         """
         if self.in_flight and self.health.on_probation:
             return False
-        if self.in_flight and self.heard_at and now - self.heard_at > SILENT_FULL_S:
+        if self.in_flight and self.heard_at and now - self.heard_at > MAX_SILENCE_S:
             return False
         return self.load(now) < most_running + max(1, most_running // 8)
 
     def record_first_token(self, seconds: float, now: float) -> None:
-        """Note how long a first token took, here or at a peer."""
+        """Record a time to first token, measured here or by a peer."""
         if self.first_token_s == 0.0:
             self.first_token_s = seconds
         self.first_token_s += LATENCY_GAIN * (seconds - self.first_token_s)
         self.first_token_at = now
 
     def expected_wait_s(self, most_running: int, now: float) -> float:
-        """Return how long a request would wait inside the target before it starts."""
+        """Return the expected queueing time inside the target, in seconds."""
         queued = self.expected_load(now) + 1 - most_running
         report = self.report
-        if report is not None and report.at + NEWS_LASTS_S >= now:
+        if report is not None and report.at + REPORT_TTL_S >= now:
             queued = max(queued, report.waiting)
-        return HOLD_S * max(0.0, queued) / most_running
+        return SLOT_TIME_S * max(0.0, queued) / most_running
 
-    def score(self, wanted: RequestProfile, zone: str, now: float) -> float:
-        """Return the expected delay of a first token here, in seconds."""
+    def score(self, profile: RequestProfile, zone: str, now: float) -> float:
+        """Return the expected time to first token at this target, in seconds."""
         report = self.report
-        busy_s = LOAD_S * (self.expected_load(now) + 1)
-        busy_s += self.expected_wait_s(wanted.most_running, now)
+        busy_s = SEQUENCE_DELAY_S * (self.expected_load(now) + 1)
+        busy_s += self.expected_wait_s(profile.most_running, now)
         began = max(self.since, self.health.returned_at)
         if began:
             busy_s /= share_at(began, now)
         score = busy_s
-        if wanted.tokens:
-            cached = wanted.tokens_by_target.get(self.member.id, 0)
-            score += PREFILL_S * (wanted.tokens - cached)
+        if profile.tokens:
+            cached = profile.tokens_by_target.get(self.member.id, 0)
+            score += PREFILL_S_PER_TOKEN * (profile.tokens - cached)
         if self.first_token_s:
             age_s = now - self.first_token_at
-            score += LATENCY_SHARE * self.first_token_s / (1 + age_s / LATENCY_HALVES_S)
+            score += (
+                LATENCY_WEIGHT * self.first_token_s / (1 + age_s / LATENCY_HALF_LIFE_S)
+            )
         if self.member.availability_zone != zone:
-            score += OTHER_ZONE_S
+            score += OTHER_ZONE_PENALTY_S
         if self.in_flight and self.heard_at:
-            # All its streams are silent: it may hang, long before any limit runs out.
-            silent_s = now - self.heard_at - SILENT_S
+            # All its streams are silent: it may hang, long before a time-out expires.
+            silent_s = now - self.heard_at - SILENCE_GRACE_S
             if silent_s > 0:
-                score += min(MOST_SILENCE_S, silent_s * SILENCE_WEIGHT)
+                score += min(MAX_SILENCE_PENALTY_S, silent_s * SILENCE_PENALTY_FACTOR)
         if self.health.strikes:
-            score += STRIKE_S * self.health.strikes
-        if report is not None and (wanted.version or wanted.adapter):
-            score += _missing_s(report, wanted)
+            score += STRIKE_PENALTY_S * self.health.strikes
+        if report is not None and (profile.version or profile.adapter):
+            score += _loading_penalty_s(report, profile)
         return score
 
     def score_parts(
-        self, wanted: RequestProfile, zone: str, now: float
+        self, profile: RequestProfile, zone: str, now: float
     ) -> dict[str, Any]:
-        """Return what the score was made of, for an explanation."""
-        cached = wanted.tokens_by_target.get(self.member.id, 0)
+        """Return the components of the score, for the trace of a request."""
+        cached = profile.tokens_by_target.get(self.member.id, 0)
         return {
             "load": round(self.expected_load(now), 2),
             "own": self.in_flight,
             "waiting": self.report.waiting if self.report else 0,
-            "prefill_tokens": max(0, wanted.tokens - cached),
+            "prefill_tokens": max(0, profile.tokens - cached),
             "cached_tokens": cached,
             "other_zone": self.member.availability_zone != zone,
             "strikes": self.health.strikes,
@@ -256,11 +262,11 @@
         }
 
 
-def _missing_s(report: TargetReport, wanted: RequestProfile) -> float:
+def _loading_penalty_s(report: TargetReport, profile: RequestProfile) -> float:
     missing_s = 0.0
-    if wanted.version and report.version and report.version != wanted.version:
-        missing_s += WRONG_VERSION_S
+    if profile.version and report.version and report.version != profile.version:
+        missing_s += WRONG_VERSION_PENALTY_S
     known = report.adapters
-    if wanted.adapter and known is not None and wanted.adapter not in known:
-        missing_s += NO_ADAPTER_S
+    if profile.adapter and known is not None and profile.adapter not in known:
+        missing_s += MISSING_ADAPTER_PENALTY_S
     return missing_s
