--- a/src/caperridge/decisions/failure_detector.py
+++ b/src/caperridge/decisions/failure_detector.py
@@ -1,11 +1,11 @@
-"""Which peers live, by their heartbeats: suspicion first, removal later.
-
-A heartbeat carries the sender's incarnation and a sequence; evidence of life is a pair
-above the last one known, seen directly or told by a peer that saw it. Silence makes a
-suspect, and only a suspect that stays silent is removed. One that comes back after a
-removal has to be steady for a while before it counts, longer each time, so that a bad
-link does not make owners move to and fro. After a pause of its own an instance blames
-nobody and holds back until it has heard somebody again.
+"""Failure detector for peers, based on heartbeats and a SWIM-style suspicion state.
+
+A heartbeat carries the sender's incarnation and a sequence number. Evidence of life is
+a pair above the last known one, received directly or relayed by a peer. A silent peer
+becomes suspect, and only a suspect that stays silent is removed. A peer that returns
+after a removal must be steady for a while before it counts as live, longer each time,
+so that ownership does not flap over a bad link. After a pause of its own, an instance
+suspects no peer and owns nothing until it has received evidence of a peer.
 """
 
 from caperridge.records import Record
@@ -27,13 +27,13 @@
 
 
 class Evidence(Record):
-    """What a heartbeat, or a rumour of one, says.
+    """Evidence that an instance is live, from its heartbeat or from a rumour.
 
     Attributes:
-        instance: who lives.
-        incarnation: of it.
-        sequence: of its heartbeat.
-        leaving: it is stopping as planned.
+        instance: id of the instance.
+        incarnation: its incarnation.
+        sequence: sequence number of its heartbeat.
+        leaving: whether it is shutting down as planned.
     """
 
     __slots__ = ("incarnation", "instance", "leaving", "sequence")
@@ -48,16 +48,16 @@
 
 
 class PeerHealth(Record):
-    """What is known of one peer.
+    """The health of one peer.
 
     Attributes:
         incarnation: the highest seen.
-        sequence: the highest of that incarnation.
+        sequence: the highest seen in that incarnation.
         state: ``live``, ``suspect``, ``dead`` or ``joining``.
-        heard_at: when the last evidence came.
-        since: when it got into its state.
+        heard_at: when the last evidence arrived.
+        since: when it entered its state.
         leaving: sticky for the incarnation.
-        removals: how often it was removed lately.
+        removals: number of recent removals.
     """
 
     __slots__ = (
@@ -95,7 +95,7 @@
 
 
 class FailureDetector:
-    """The health of every peer that this instance ever heard of."""
+    """Tracks the health of all known peers."""
 
     def __init__(self) -> None:
         self.health_by_id: dict[str, PeerHealth] = {}
@@ -105,7 +105,7 @@
         self._resumed_at = 0.0
 
     def record_evidence(self, evidence: Evidence, now: float) -> bool:
-        """Take in evidence of life; return whether it was new."""
+        """Record evidence of life; return whether it was new."""
         health = self.health_by_id.get(evidence.instance)
         if health is None:
             health = PeerHealth(evidence.incarnation, evidence.sequence, LIVE, now, now)
@@ -126,13 +126,13 @@
         return True
 
     def suspect(self, instance: str, now: float) -> None:
-        """Suspect a peer at once, as its stream has ended."""
+        """Suspect a live peer at once, since its stream was closed."""
         health = self.health_by_id.get(instance)
         if health is not None and health.state == LIVE:
             _set_state(health, SUSPECT, now)
 
     def tick(self, now: float) -> list[str]:
-        """Let time pass; return the peers that were removed."""
+        """Advance the clock to ``now``; return the peers that were removed."""
         self._detect_pause(now)
         removed: list[str] = []
         for instance, health in list(self.health_by_id.items()):
@@ -165,26 +165,26 @@
         )
 
     def known_incarnation(self, instance: str) -> int:
-        """Return the highest incarnation seen of a peer; 0 if none was."""
+        """Return the highest incarnation seen of a peer; 0 if it is unknown."""
         health = self.health_by_id.get(instance)
         return 0 if health is None else health.incarnation
 
     def _detect_pause(self, now: float) -> None:
-        before, self._ticked_at = self._ticked_at, now
-        if before is None:
+        previous, self._ticked_at = self._ticked_at, now
+        if previous is None:
             return
-        gap = now - before
-        if gap < PAUSE_THRESHOLD_S:
+        gap_s = now - previous
+        if gap_s < PAUSE_THRESHOLD_S:
             if self.recovering and now - self._resumed_at >= MAX_RECOVERY_S:
                 self.recovering = False
             return
-        # The silence was our own: nobody is to be blamed for it.
+        # This process was paused, so the peers' silence is no evidence against them.
         self.pauses += 1
         self.recovering = True
         self._resumed_at = now
         for health in self.health_by_id.values():
-            health.heard_at = min(now, health.heard_at + gap)
-            health.since = min(now, health.since + gap)
+            health.heard_at = min(now, health.heard_at + gap_s)
+            health.since = min(now, health.since + gap_s)
 
 
 def _is_newer(evidence: Evidence, health: PeerHealth) -> bool:
@@ -198,10 +198,10 @@
 
 
 def _update_joining(health: PeerHealth, now: float) -> None:
-    """Count a returned peer again once it was steady, or give it up again."""
+    """Mark a returned peer live once it was steady, or dead if it is silent again."""
     if now - health.heard_at >= SUSPECT_TIMEOUT_S:
         _set_state(health, DEAD, now)
         return
-    needed_s = min(MAX_REJOIN_DELAY_S, REJOIN_DELAY_S * 2 ** (health.removals - 1))
-    if now - health.since >= needed_s:
+    required_s = min(MAX_REJOIN_DELAY_S, REJOIN_DELAY_S * 2 ** (health.removals - 1))
+    if now - health.since >= required_s:
         _set_state(health, LIVE, now)
--- a/src/caperridge/decisions/heartbeats.py
+++ b/src/caperridge/decisions/heartbeats.py
@@ -1,8 +1,8 @@
-"""What an instance says in its heartbeats, and what it makes of others'.
+"""Heartbeats with indirect probes (as in SWIM) and detection of duplicate instance ids.
 
-A heartbeat asks after those that its sender suspects, and answers for those that
-others suspect, so that a single bad link removes nobody. It also tells an instance
-that another process has its id: a predecessor whose clock was ahead, if the instance
+A heartbeat names the peers that its sender suspects and vouches for live peers that
+others suspect, so that a single bad link removes no peer. It also shows an instance
+that another process uses its id: a predecessor whose clock was ahead, if the instance
 has just started, and a successor otherwise.
 """
 
@@ -18,9 +18,9 @@
     """The heartbeats of one instance.
 
     Args:
-        membership: fed with what is heard.
-        incarnation: of this process; above that of any earlier one with its id.
-        started_at: when the process started, on the clock that ``now`` is of.
+        membership: updated with the received evidence.
+        incarnation: of this process; above that of any earlier process with its id.
+        started_at: start time of the process, on the same clock as ``now``.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         return heartbeat
 
     def latest(self, configuration_version: int = 0) -> Heartbeat:
-        """Return the last heartbeat again, for a peer that was not there."""
+        """Return the last heartbeat again, for a peer that connected after it."""
         return Heartbeat(
             self._membership.instance,
             self.incarnation,
@@ -51,7 +51,7 @@
         )
 
     def receive(self, heartbeat: Heartbeat, availability_zone: str, now: float) -> None:
-        """Take in the heartbeat of a peer that runs in ``availability_zone``."""
+        """Process the heartbeat of a peer that runs in ``availability_zone``."""
         evidence = Evidence(
             heartbeat.instance,
             heartbeat.incarnation,
@@ -63,7 +63,7 @@
             self._receive_rumour(*rumour[:4], now=now)
 
     def check_own_incarnation(self, known: int, now: float) -> None:
-        """Go above a predecessor's incarnation, or give way to a successor's."""
+        """Exceed a predecessor's incarnation, or yield to a successor's."""
         if known <= self.incarnation or self._membership.superseded:
             return
         if now - self._started_at < STARTUP_S:
--- a/src/caperridge/decisions/membership.py
+++ b/src/caperridge/decisions/membership.py
@@ -1,9 +1,10 @@
-"""Which instances live, as this instance sees it.
+"""Group membership: the live instances in this instance's view, and owners of keys.
 
-The platform's list lags, so heartbeats go first where there are any: an instance that
-is heard is live although not listed yet, and one that fell silent is not although
-still listed. A listed one that was never heard counts for a while, since it may have
-just started. Of other availability zones the members of those zones tell.
+The platform's list lags, so heartbeats take precedence: an instance that sends them is
+live even if it is not listed yet, and one that fell silent is not, even if it is still
+listed. A listed instance without any heartbeat counts as live for a grace period, since
+it may have just started. Evidence about other availability zones comes from members of
+those zones.
 """
 
 from collections.abc import Iterable
@@ -30,8 +31,8 @@
 
     Args:
         instance: id of this instance.
-        availability_zone: where it runs.
-        heartbeats: whether peers are heard; if not, the list decides alone.
+        availability_zone: zone of this instance.
+        heartbeats: whether peers send heartbeats; if not, only the list decides.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self.detector = FailureDetector()
         self._listed_at_by_id: dict[str, float] = {}
         self._introduced_at_by_id: dict[str, float] = {}
-        self._left_by_id: dict[str, tuple[int, int]] = {}
+        self._departures_by_id: dict[str, tuple[int, int]] = {}
         self._live_by_zone: dict[str, list[str]] = {}
         self._owners_by_key: dict[tuple[str, str], str | None] = {}
         self._now = 0.0
@@ -58,7 +59,7 @@
     def apply_list(
         self, members: Iterable[ListedMember], now: float | None = None
     ) -> None:
-        """Take over the platform's list of instances, which lags."""
+        """Apply the platform's list of instances, which lags."""
         self._now = self._now if now is None else now
         self.members_by_id = {m.id: m for m in members if m.kind == "instance"}
         for instance, member in self.members_by_id.items():
@@ -67,42 +68,46 @@
         for instance in list(self._listed_at_by_id):
             if instance not in self.members_by_id:
                 del self._listed_at_by_id[instance]
-                self._left_by_id.pop(instance, None)
+                self._departures_by_id.pop(instance, None)
         self._refresh()
 
     def record_evidence(
         self, evidence: Evidence, availability_zone: str, now: float
     ) -> bool:
-        """Take in evidence that a peer lives; return whether it was new."""
+        """Record evidence that a peer is live; return whether it was new."""
         self._now = now
         self.zones_by_id[evidence.instance] = availability_zone
-        was_held_back = self.detector.recovering
+        was_recovering = self.detector.recovering
         if not self.detector.record_evidence(evidence, now):
             return False
         instance = evidence.instance
         counted = instance in self.live(self.zone_of(instance))
-        if was_held_back or self._is_live(instance) != counted:
+        if was_recovering or self._is_live(instance) != counted:
             self._refresh()
         return True
 
     def suspect(self, instance: str, now: float) -> None:
-        """Suspect a peer whose stream has ended."""
+        """Suspect a peer whose stream was closed."""
         self._now = now
         self.detector.suspect(instance, now)
 
     def tick(self, now: float) -> list[str]:
-        """Let time pass; return the peers that were removed."""
+        """Advance the clock to ``now``; return the peers that were removed."""
         self._now = now
-        held_back = self.detector.recovering
+        was_recovering = self.detector.recovering
         removed = self.detector.tick(now)
-        if removed or held_back != self.detector.recovering or now >= self._refresh_due:
+        if (
+            removed
+            or was_recovering != self.detector.recovering
+            or now >= self._refresh_due
+        ):
             self._refresh_due = now + REFRESH_INTERVAL_S
             self._expire_unlisted()
             self._refresh()
         return removed
 
     def leave(self) -> None:
-        """Own nothing from now on; this instance is stopping as planned."""
+        """Own nothing from now on; this instance is shutting down as planned."""
         self.leaving = True
         self._refresh()
 
@@ -113,41 +118,41 @@
 
     @property
     def steady(self) -> bool:
-        """Whether this instance may take what rendezvous hashing gives it."""
+        """Whether this instance may own what rendezvous hashing assigns to it."""
         return not (self.leaving or self.superseded or self.detector.recovering)
 
     def live(self, availability_zone: str) -> list[str]:
-        """Return the live instances of a zone, sorted; the own one if steady."""
+        """Return the sorted live instances of a zone; this one only if steady."""
         return self._live_by_zone.get(availability_zone, [])
 
     def live_by_zone(self) -> dict[str, list[str]]:
-        """Return the live instances of every zone; not to be changed."""
+        """Return the live instances of every zone; callers must not modify it."""
         return self._live_by_zone
 
     def owner(self, key: str, availability_zone: str) -> str | None:
-        """Return the live instance of a zone that looks after ``key``.
+        """Return the live instance of a zone that owns ``key``.
 
-        The answer is kept until the view changes, as each online request asks.
+        The result is cached until the view changes, since each online request needs it.
         """
-        place = (key, availability_zone)
+        cache_key = (key, availability_zone)
         try:
-            return self._owners_by_key[place]
+            return self._owners_by_key[cache_key]
         except KeyError:
             pass
         if len(self._owners_by_key) >= MAX_CACHED_OWNERS:
             self._owners_by_key.clear()
         found = owner(key, self.live(availability_zone))
-        self._owners_by_key[place] = found
+        self._owners_by_key[cache_key] = found
         return found
 
     def add_introduced(self, instance: str, availability_zone: str) -> None:
-        """Learn from a peer of an instance that is not listed yet."""
+        """Add an unlisted instance that a peer introduced."""
         if instance != self.instance and instance not in self.zones_by_id:
             self.zones_by_id[instance] = availability_zone
             self._introduced_at_by_id[instance] = self._now
 
     def zone_of(self, instance: str) -> str:
-        """Return where an instance runs; empty if that is not known."""
+        """Return the zone of an instance; empty if unknown."""
         member = self.members_by_id.get(instance)
         if member is not None:
             return member.availability_zone
@@ -164,17 +169,17 @@
         return found_by_zone
 
     def _note_leaving(self, member: ListedMember) -> None:
-        """Keep "leaving" for the incarnation that it was said of."""
-        left = self._left_by_id.get(member.id)
-        if left is not None and member.incarnation > left[0]:
-            del self._left_by_id[member.id]
-            left = None
-        if member.state == LEAVING and left is None:
-            heard = self.detector.known_incarnation(member.id)
-            self._left_by_id[member.id] = (member.incarnation, heard)
+        """Remember the incarnation for which the list reports "leaving"."""
+        departure = self._departures_by_id.get(member.id)
+        if departure is not None and member.incarnation > departure[0]:
+            del self._departures_by_id[member.id]
+            departure = None
+        if member.state == LEAVING and departure is None:
+            received = self.detector.known_incarnation(member.id)
+            self._departures_by_id[member.id] = (member.incarnation, received)
 
     def _expire_unlisted(self) -> None:
-        """Forget instances that are not listed and were not heard for long."""
+        """Remove unlisted instances without heartbeats for the retention time."""
         for instance in list(self.zones_by_id):
             if instance in self.members_by_id:
                 continue
@@ -193,29 +198,29 @@
         health = self.detector.health_by_id.get(instance)
         if health is not None and health.leaving:
             return True
-        left = self._left_by_id.get(instance)
-        if left is None:
+        departure = self._departures_by_id.get(instance)
+        if departure is None:
             return False
-        return health is None or health.incarnation <= left[1]
+        return health is None or health.incarnation <= departure[1]
 
     def _is_live(self, instance: str) -> bool:
         if self._has_left(instance):
             return False
         health = self.detector.health_by_id.get(instance)
-        elsewhere = self.zone_of(instance) != self.availability_zone
-        if health is not None and not (elsewhere and self._is_stale(health)):
+        in_other_zone = self.zone_of(instance) != self.availability_zone
+        if health is not None and not (in_other_zone and self._is_stale(health)):
             return health.counts_as_live
         if instance not in self.members_by_id:
             return False
-        if elsewhere or not self.heartbeats:
+        if in_other_zone or not self.heartbeats:
             return True
         return self._now - self._listed_at_by_id[instance] < LISTED_GRACE_PERIOD_S
 
     def _is_stale(self, health: PeerHealth) -> bool:
-        """Return whether silence from another zone says nothing any more.
+        """Return whether silence from another zone is no longer evidence.
 
-        Only a few streams lead there and they move, so after a while the list, which
-        lags but goes on, knows better.
+        Only a few streams lead there and they move, so after a while the list, although
+        it lags, is the better source.
         """
         return health.state == DEAD and self._now - health.since >= OTHER_ZONE_SILENCE_S
 
