--- a/src/caperridge/decisions/own_targets.py
+++ b/src/caperridge/decisions/own_targets.py
@@ -1,9 +1,9 @@
-"""Which targets this instance dispatches batch for, and what changed about that.
+"""Rendezvous hashing: which targets this instance dispatches batch for, and changes.
 
-Each target has one dispatcher: the owner by rendezvous hash among the live instances
-of its availability zone, as this instance sees them. Two views that differ for a
-moment mean two dispatchers, or none, for that moment; see
-:class:`~caperridge.decisions.headroom.Headroom` for what bounds the harm.
+Each target has one dispatcher: its owner by rendezvous hash among the live instances
+of its availability zone, as seen by this instance. While the views of two instances
+differ, a target may have two dispatchers or none;
+:class:`~caperridge.decisions.headroom.Headroom` bounds the harm.
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 class OwnershipChanges(Record):
-    """Targets that came to this instance or went from it, and peers that went."""
+    """Targets gained and lost by this instance, and live peers that were removed."""
 
     __slots__ = ("gained", "lost", "removed_peers")
 
@@ -30,13 +30,16 @@
 
 
 class OwnTargets:
-    """The own targets by service.
+    """The targets that this instance owns.
 
-    Owners are worked out anew only when the live instances change: at 112 targets
-    and 23 instances in a zone that is 2,576 hashes.
+    Owners are recomputed only when the live instances change: with 112 targets and 23
+    instances in a zone that takes 2,576 hashes.
 
     Args:
         membership: the view of the live instances.
+
+    Attributes:
+        by_service: ids of the owned targets by service.
     """
 
     def __init__(self, membership: Membership) -> None:
@@ -45,20 +48,20 @@
         self._live: list[str] = []
         self._owners_by_target: dict[str, str | None] = {}
         self._own: set[str] = set()
-        self._alone = True
+        self._is_only_instance = True
 
     @property
     def is_only_instance(self) -> bool:
-        """Whether no other instance is live, here or in another zone."""
-        return self._alone
+        """Whether no other instance is live in any availability zone."""
+        return self._is_only_instance
 
     def refresh(self, states_by_id: Mapping[str, TargetState]) -> OwnershipChanges:
-        """Work out the own targets; return what changed."""
+        """Recompute the owned targets; return the changes."""
         zone = self._membership.availability_zone
         live = self._membership.live(zone)
         others = set(self._membership.members_by_id) - {self._membership.instance}
-        self._alone = not others and len(live) <= 1
-        gone = sorted(set(self._live) - set(live))
+        self._is_only_instance = not others and len(live) <= 1
+        removed = sorted(set(self._live) - set(live))
         if live != self._live:
             self._live = live
             self._owners_by_target.clear()
@@ -75,7 +78,7 @@
         gained = sorted(own - self._own)
         lost = sorted(self._own - own)
         self._own = own
-        return OwnershipChanges(gained, lost, gone)
+        return OwnershipChanges(gained, lost, removed)
 
     def _owner(self, target: str, zone: str) -> str | None:
         if target not in self._owners_by_target:
--- a/src/caperridge/decisions/plain_calls.py
+++ b/src/caperridge/decisions/plain_calls.py
@@ -1,8 +1,8 @@
-"""What becomes of a call to a plain service: its claim, its attempts, its answer.
+"""Idempotency keys and retries of calls to plain services.
 
-A call with the caller's idempotency key to a service that may not be repeated is
-claimed by a row before it is sent. The row's writer is the only one who ever sends
-the call; everybody else only reads the row, so at most one run follows from it.
+A call with an idempotency key to a service that is not repeatable is claimed by a row
+before it is sent. Only the writer of the row ever sends the call; other requests with
+the key only read the row, so the call runs at most once.
 """
 
 import xxhash
@@ -16,11 +16,11 @@
 LOST = "lost"
 
 MAX_ATTEMPTS = 3
-# Longer than any call lasts, and than clocks of instances differ by.
+# Longer than any call takes and than the clocks of instances differ.
 MAX_RUNNING_S = 120.0
 RETRY_AFTER_S = 1.0
-KEY_RETENTION_S = 7 * 86400.0  # how long a key is remembered
-# A call whose claim cannot be looked up may have run under the same key before.
+KEY_RETENTION_S = 7 * 86400.0
+# A call whose claim cannot be read may have run before under the same key.
 UNREADABLE_CLAIM_RUN = UNKNOWN
 
 
@@ -29,16 +29,16 @@
 
     Attributes:
         state: ``running``; ``done`` with its answer; ``lost`` without one.
-        request: id of the request that may send the call, the only one.
+        request: id of the only request that may send the call.
         digest: of method, path and body, to tell a resend from another call.
-        session: of the instance that sends it.
+        session: session of the instance that sends it.
         started: seconds since the epoch.
-        ended: the same; 0 while it runs.
-        status: of the answer.
-        headers: of the answer, as ``[name, value]``.
-        body: of the answer, unless ``stored`` names the object that has it.
+        ended: seconds since the epoch; 0 while it runs.
+        status: status of the answer.
+        headers: headers of the answer, as ``[name, value]``.
+        body: body of the answer, unless ``stored`` names an object with it.
         stored: name of that object.
-        reason: how it was lost.
+        reason: why the answer was lost.
     """
 
     __slots__ = (
@@ -83,13 +83,13 @@
 
 
 class KeyReused(Record):
-    """The key names a call with another method, path or body."""
+    """The key was used for a call with another method, path or body."""
 
     __slots__ = ()
 
 
 class AnswerRecorded(Record):
-    """The call ran, and this is its answer."""
+    """The call ran; ``claim`` has its answer."""
 
     __slots__ = ("claim",)
 
@@ -98,7 +98,7 @@
 
 
 class StillRunning(Record):
-    """The first of the requests is under way."""
+    """The request that claimed the key is in progress."""
 
     __slots__ = ("request",)
 
@@ -107,7 +107,7 @@
 
 
 class OutcomeUnknown(Record):
-    """The call may have run; nobody will ever know or send it again."""
+    """The call may have run; this stays unknown, and it is never sent again."""
 
     __slots__ = ("reason", "request")
 
@@ -120,7 +120,7 @@
 
 
 def call_digest(method: str, path: str, body: bytes) -> str:
-    """Return a digest that two calls share only if they ask for the same.
+    """Return a digest that two calls share only if they are the same request.
 
     >>> call_digest("PUT", "/a", b"b") == call_digest("PUT", "/ab", b"")
     False
@@ -132,12 +132,12 @@
 def on_resend(
     claim: CallClaim, digest: str, holder_alive: bool, now: float
 ) -> ResendAction:
-    """Return what a request gets that finds its key claimed; never another run.
+    """Return the outcome of a request whose key is already claimed; never a run.
 
     Args:
         claim: as read.
-        digest: of the call that was sent now.
-        holder_alive: whether the claim's session still lasts.
+        digest: of the new request.
+        holder_alive: whether the session of the claim is alive.
         now: seconds since the epoch.
     """
     if claim.digest != digest:
@@ -154,7 +154,7 @@
 
 
 def is_expired(claim: CallClaim, now: float) -> bool:
-    """Return whether the key was remembered for long enough.
+    """Return whether the retention of the key is over.
 
     Args:
         claim: as read.
@@ -164,13 +164,13 @@
 
 
 class ReturnAnswer(Record):
-    """Give the caller the target's answer."""
+    """Return the target's answer to the caller."""
 
     __slots__ = ()
 
 
 class RetryElsewhere(Record):
-    """Try another target."""
+    """Send the call to another target."""
 
     __slots__ = ("reason",)
 
@@ -179,7 +179,7 @@
 
 
 class RefuseCall(Record):
-    """Refuse now; ``run`` is true of all attempts together."""
+    """Refuse the call; ``run`` covers all of its attempts."""
 
     __slots__ = ("code", "reason", "run", "status")
 
@@ -191,16 +191,26 @@
 
 
 class CallAttempts:
-    """The attempts of one call so far.
+    """The attempts of one call, and what to do after each.
 
     Args:
         repeatable: whether it may be sent again after it may have run.
-        believes_not_run: whether the targets' ``not_run`` counts.
-        budget: shared by the calls of one instance; attempts that may double the
-            work of a target are paid from it.
+        believes_not_run: whether a target's ``not_run`` is trusted.
+        budget: retry budget of the service on this instance, for attempts that may
+            double the work of a target.
+
+    Attributes:
+        attempts: number of attempts so far.
+        may_have_run: whether a target may have run the call.
     """
 
-    __slots__ = ("_believes", "_budget", "_repeatable", "attempts", "may_have_run")
+    __slots__ = (
+        "_believes_not_run",
+        "_budget",
+        "_repeatable",
+        "attempts",
+        "may_have_run",
+    )
 
     def __init__(
         self, repeatable: bool, believes_not_run: bool, budget: RetryBudget
@@ -208,16 +218,16 @@
         self.attempts = 0
         self.may_have_run = False
         self._repeatable = repeatable
-        self._believes = believes_not_run
+        self._believes_not_run = believes_not_run
         self._budget = budget
 
     def record_not_sent(self, reason: str) -> RetryElsewhere | RefuseCall:
-        """No byte left for the target."""
+        """Record an attempt of which no byte was sent to the target."""
         self.attempts += 1
         return self._next(reason)
 
     def record_lost(self, reason: str) -> RetryElsewhere | RefuseCall:
-        """The target may have run it, and there is no whole answer."""
+        """Record an attempt that may have run, without a complete answer."""
         self.attempts += 1
         self.may_have_run = True
         if not self._repeatable:
@@ -229,30 +239,35 @@
     def record_answer(
         self, status: int, run: str
     ) -> ReturnAnswer | RetryElsewhere | RefuseCall:
-        """The target answered; ``run`` is its word on a refusal, or empty."""
+        """Record an answer of the target.
+
+        Args:
+            status: of the answer.
+            run: the target's statement on a refusal, e.g. ``not_run``; empty for none.
+        """
         self.attempts += 1
         if status not in (429, 503):
             return ReturnAnswer()
-        if run == NOT_RUN and self._believes:
+        if run == NOT_RUN and self._believes_not_run:
             return self._next("the target says not run")
         self.may_have_run = True
         last = self.attempts >= MAX_ATTEMPTS
         if self._repeatable and not last and self._budget.take():
             return RetryElsewhere(f"the target refused with {status}")
         if run == NOT_RUN:
-            # Its word does not count, so it must not reach the caller either.
+            # The statement is not trusted, so it must not reach the caller either.
             text = f"the target refused with {status}"
             return RefuseCall("target_refused", text, status, UNKNOWN)
         return ReturnAnswer()
 
     def refuse_no_target(self) -> RefuseCall:
-        """No target is left to try."""
+        """Return the refusal when no target remains to try."""
         if self.may_have_run:
             return self._lost("no other target can take it")
         return RefuseCall("no_target", "no target can take it now", 503, NOT_RUN)
 
     def refuse_too_large(self, reason: str) -> RefuseCall:
-        """The target answered more than is passed on."""
+        """Record an answer that is larger than the limit for forwarding."""
         self.attempts += 1
         return RefuseCall("answer_too_large", reason, 502, UNKNOWN)
 
--- a/src/caperridge/decisions/plain_items.py
+++ b/src/caperridge/decisions/plain_items.py
@@ -1,14 +1,14 @@
-"""Batch items for plain services: where they go, how many, and what an attempt means.
+"""Batch items of plain services: slots at targets, and the outcome of an attempt.
 
-An item of a service that may not be repeated is sent only after a row says that it was
-started. Whoever finds it started and has no result of it never sends it again.
+An item of a service that is not repeatable is sent only after a row records that it
+was started. A holder that finds an item started, without a result, never sends it.
 """
 
 from caperridge.records import Record
 from caperridge.refusals import NOT_RUN, UNKNOWN
 from caperridge.targets.outcomes import AttemptError, Lost, TargetRefused
 
-# Of a target's places, the part that is always left to online calls.
+# Share of a target's slots that is reserved for online calls.
 ONLINE_RESERVED_RATIO = 0.25
 STARTED_BEFORE = "an earlier holder started it, and its result was not saved"
 STARTED_HERE = "it was started here before, and its answer did not come"
@@ -16,7 +16,7 @@
 
 
 class FinalResult(Record):
-    """No further attempt; ``code`` is empty if the answer is the item's result."""
+    """The final result of an item; ``code`` is empty if the answer is its result."""
 
     __slots__ = ("code", "reason", "run", "status")
 
@@ -30,11 +30,11 @@
 
 
 def batch_slots(most_running: int, online: int, running: int) -> int:
-    """Return how many more items may start at a target; online calls go first.
+    """Return how many more items may start at a target; online calls have priority.
 
     Args:
-        most_running: calls that the target runs at once.
-        online: online calls known to be there.
+        most_running: maximum of concurrent calls at the target.
+        online: online calls known to run there.
         running: items that run there now.
 
     >>> batch_slots(16, online=0, running=0), batch_slots(16, online=10, running=1)
@@ -48,20 +48,20 @@
 
 
 def unknown_outcome(reason: str) -> FinalResult:
-    """Return the end of an item that may have run, once, without a known answer."""
+    """Return the result of an item that may have run once, without a known answer."""
     return FinalResult(502, OUTCOME_UNKNOWN, reason, UNKNOWN)
 
 
 def classify_answer(
     status: int, run: str, repeatable: bool, believes_not_run: bool
 ) -> FinalResult | TargetRefused:
-    """Return what a whole answer means.
+    """Return the result of an item, or the error to retry, for a complete answer.
 
     Args:
         status: of the answer.
-        run: the target's own word on a refusal; empty for none.
+        run: the target's statement on a refusal, e.g. ``not_run``; empty for none.
         repeatable: whether the item may be sent again after it may have run.
-        believes_not_run: whether the target's "not run" counts.
+        believes_not_run: whether the target's "not run" is trusted.
     """
     if status < 400:
         return FinalResult(status)
@@ -77,7 +77,7 @@
 
 
 def classify_error(error: AttemptError, repeatable: bool) -> FinalResult | AttemptError:
-    """Return what an attempt without a whole answer means; an error is tried again."""
+    """Return the result of an item, or the error to retry, without a whole answer."""
     if isinstance(error, Lost) and not repeatable:
         return unknown_outcome(error.reason)
     return error
--- a/src/caperridge/decisions/plans.py
+++ b/src/caperridge/decisions/plans.py
@@ -1,4 +1,4 @@
-"""Plans: what a declaration would change, as a pure function of both sides."""
+"""Plans: the difference between the current and the declared configuration."""
 
 from typing import Any
 
@@ -9,12 +9,12 @@
 
 
 class Change(Record):
-    """One thing that would be added, changed or removed.
+    """One entry that would be added, changed or removed.
 
     Attributes:
         action: ``add``, ``change`` or ``remove``.
-        table: e.g. ``services``.
-        name: of the thing.
+        table: table of the configuration, e.g. ``services``.
+        name: name of the entry.
         fields: for a change, ``[before, after]`` by field.
     """
 
@@ -34,15 +34,15 @@
 
 
 class Plan(Record):
-    """What confirming would do.
+    """The changes that a confirmation would apply.
 
     Attributes:
-        base_version: the version it was made against.
+        base_version: the version that it was made against.
         digest: the base version and a digest of the declaration, ``17-5f…``;
-            ``confirm`` sends it, and the log keeps it.
+            ``confirm`` sends it, and the log stores it.
         changes: in a fixed order.
-        effects: sentences on what the changes will do.
-        warnings: sentences on what an operator may not want.
+        effects: sentences on the effects of the changes.
+        warnings: sentences on effects that an operator may not want.
     """
 
     __slots__ = ("base_version", "changes", "digest", "effects", "warnings")
@@ -63,7 +63,7 @@
 
 
 def make_plan(current: Configuration, wanted: Configuration) -> Plan:
-    """Return the plan that leads from ``current`` to ``wanted``."""
+    """Return the plan of the changes from ``current`` to ``wanted``."""
     changes = changes_between(current, wanted)
     content = xxhash.xxh3_128_hexdigest(pack(_canonical(wanted)))
     return Plan(current.version, f"{current.version}-{content}", changes)
@@ -80,7 +80,7 @@
 
 
 def _canonical(wanted: Configuration) -> list[Any]:
-    """Return the content in an order that does not depend on the declaration's."""
+    """Return the content in an order independent of that of the declaration."""
     content: list[Any] = []
     for field in sorted(KINDS_BY_FIELD):
         items = getattr(wanted, field)
@@ -89,7 +89,7 @@
 
 
 def changes_between(before: Configuration, after: Configuration) -> list[Change]:
-    """Return what differs between two versions, in a fixed order."""
+    """Return the differences between two versions, in a fixed order."""
     changes: list[Change] = []
     for field in KINDS_BY_FIELD:
         table = field.removesuffix("_by_name")
--- a/src/caperridge/decisions/progress.py
+++ b/src/caperridge/decisions/progress.py
@@ -1,4 +1,4 @@
-"""How far one request has come over its attempts, and whether it may go on."""
+"""Retry policy of online requests: the progress of a request over its attempts."""
 
 from caperridge.records import Record
 from caperridge.refusals import NOT_RUN, UNKNOWN
@@ -13,7 +13,7 @@
 
 
 class Stop(Record):
-    """Why a request gets no further attempt."""
+    """The refusal of a request that gets no further attempt."""
 
     __slots__ = ("code", "reason", "status")
 
@@ -24,16 +24,16 @@
 
 
 class Progress:
-    """The course of one request.
+    """The progress of one request.
 
     Attributes:
-        offset: of the next token.
-        alone: whether there was no other target to move to at the last choice.
-        attempts: that failed.
+        offset: index of the next token.
+        alone: whether the last choice of a target had no alternative.
+        attempts: number of failed attempts.
         excluded: targets that failed it.
-        given_up_early: targets of those that ran out of time while another was left.
+        timed_out_early: those of them that timed out while there was an alternative.
         may_have_run: whether a target may have run it.
-        began: whether the caller has seen a token.
+        streaming: whether a token was sent to the caller.
         last_event: the newest token event; empty if there is none.
     """
 
@@ -60,11 +60,11 @@
 
     @property
     def run(self) -> str:
-        """The ``run`` word of a refusal now."""
+        """The ``run`` field of a refusal at this point."""
         return UNKNOWN if self.may_have_run else NOT_RUN
 
     def record_tokens(self, events: list[bytes]) -> None:
-        """Note tokens that go to the caller."""
+        """Record tokens that are sent to the caller."""
         self.offset += len(events)
         self.streaming = True
         self.last_event = events[-1]
@@ -72,12 +72,12 @@
     def record_failure(
         self, target: str, error: AttemptError, believes_not_run: bool
     ) -> None:
-        """Note a failed attempt.
+        """Record a failed attempt.
 
         Args:
-            target: where.
-            error: how.
-            believes_not_run: whether a target's own "not run" counts.
+            target: id of the target.
+            error: of the attempt.
+            believes_not_run: whether a target's "not run" is trusted.
         """
         self.attempts += 1
         self.excluded.add(target)
@@ -85,26 +85,33 @@
             self.timed_out_early.add(target)
         if isinstance(error, NotSent):
             return
-        said_not_run = isinstance(error, TargetRefused) and error.run == NOT_RUN
-        if said_not_run and believes_not_run and not self.streaming:
+        reported_not_run = isinstance(error, TargetRefused) and error.run == NOT_RUN
+        if reported_not_run and believes_not_run and not self.streaming:
             return
         self.may_have_run = True
 
     def readmit_timed_out(self) -> bool:
-        """Allow targets that were given up early once more; False if there are none.
+        """Allow targets that timed out early again; False if there are none.
 
-        They may only have been slower than the limit that holds while another target
-        can be tried. Without another they get the patience of a last resort.
+        They may only have exceeded the shorter time-out that applies while there is
+        another target to try. Without one, the time-out of the last resort applies.
         """
-        reconsidered = bool(self.timed_out_early)
+        readmitted = bool(self.timed_out_early)
         self.excluded -= self.timed_out_early
         self.timed_out_early.clear()
-        return reconsidered
+        return readmitted
 
     def stop_reason(
         self, error: AttemptError, repeatable: bool, deadline: float, now: float
     ) -> Stop | None:
-        """Return why the request must end after ``error``; None if it may go on."""
+        """Return the refusal after ``error``; None if the request may be retried.
+
+        Args:
+            error: of the last attempt.
+            repeatable: whether it may be sent again after it may have run.
+            deadline: of the request, on the same clock as ``now``.
+            now: monotonic seconds.
+        """
         reason = error.reason
         if isinstance(error, TargetRefused) and error.permanent:
             return Stop("target_refused", reason, error.status)
--- a/src/caperridge/decisions/reconcile.py
+++ b/src/caperridge/decisions/reconcile.py
@@ -1,7 +1,7 @@
-"""Reconciling targets: what one should hold, what it holds, and the step between.
+"""Reconciliation of targets: desired state, observed state and the next step.
 
-Orders name a desired state rather than a step, so that a lost, late or doubled order
-does no harm: the next look at the target says what is still to do.
+Orders name a desired state rather than a step, so that a lost, late or duplicated
+order does no harm: the next poll of the target shows what remains to be done.
 """
 
 from collections.abc import Mapping
@@ -16,7 +16,7 @@
 
 
 class Loaded(Record):
-    """What a runner holds, or should hold."""
+    """What a runner has loaded, or should load."""
 
     __slots__ = ("adapters", "model", "role", "version")
 
@@ -34,14 +34,14 @@
 
 
 class Observed(Record):
-    """What a target said of itself.
+    """The state that a target reported.
 
     Attributes:
-        loaded: what it serves now; None if it does not say.
-        desired: what the last order it obeyed asked for; None if there was none.
-        fence: the highest fencing number it has seen.
-        loading: it is busy loading.
-        leaving: it is leaving, and gets no orders.
+        loaded: what it serves now; None if it does not report it.
+        desired: the state of the last order that it accepted; None if there was none.
+        fence: the highest fencing number that it received.
+        loading: it is loading.
+        leaving: it is leaving and gets no orders.
     """
 
     __slots__ = ("desired", "fence", "leaving", "loaded", "loading")
@@ -62,18 +62,18 @@
 
 
 class Step(Enum):
-    """What is to be done next with a target."""
+    """The next step for a target."""
 
-    NOTHING = "nothing"  # it holds what it should
-    WAIT = "wait"  # it was told, and is on the way
-    ORDER = "order"  # tell it; it goes on serving meanwhile
-    ORDER_OUT = "order_out"  # tell it; it is away from online meanwhile or after
+    NOTHING = "nothing"  # it holds the desired state
+    WAIT = "wait"  # it has accepted the order and is loading
+    ORDER = "order"  # send an order; the target keeps serving meanwhile
+    ORDER_OUT = "order_out"  # send an order; it stops serving online meanwhile or after
 
 
 def desired_of(
     configuration: Configuration, service: Service, role: str = MIXED
 ) -> Loaded:
-    """Return what a runner of ``service`` should hold."""
+    """Return the desired state of a runner of ``service``."""
     adapters = [a for a in service.adapters if a in configuration.adapters_by_name]
     return Loaded(service.model, service.version, adapters, role)
 
@@ -83,26 +83,26 @@
 ) -> str:
     """Return the role of one of a service's targets.
 
-    The batch runners are those with the highest hash, so that few change their role
-    when a target comes or goes. One runner is always left to online; and while none
-    of those for online holds the wanted version, the batch runners stand in, since
-    otherwise the last one could never be switched.
+    The batch runners are those with the highest rendezvous hash, so that few roles
+    change when a target is added or removed. One runner always remains for online
+    requests. While none of the online runners holds the desired version, the batch
+    runners serve online too, since otherwise the last one could never be switched.
 
     Args:
-        target_id: which of them.
+        target_id: id of the target.
         service: as declared.
-        loaded_by_target: all its targets, with what they are known to hold.
+        loaded_by_target: what each of its targets holds; None if not known.
     """
     ranked = sorted(
         loaded_by_target, key=lambda t: (score(service.name, t), t), reverse=True
     )
-    most = min(service.batch_runners, max(0, len(ranked) - 1))
-    if target_id not in ranked[:most]:
+    batch_count = min(service.batch_runners, max(0, len(ranked) - 1))
+    if target_id not in ranked[:batch_count]:
         return MIXED
-    wanted = Loaded(service.model, service.version)
-    for other in ranked[most:]:
+    desired = Loaded(service.model, service.version)
+    for other in ranked[batch_count:]:
         loaded = loaded_by_target[other]
-        if loaded is not None and _same_weights(loaded, wanted):
+        if loaded is not None and _same_weights(loaded, desired):
             return BATCH
     return MIXED
 
@@ -110,7 +110,7 @@
 def gb_between(
     configuration: Configuration, loaded: Loaded | None, desired: Loaded
 ) -> float:
-    """Return how many GB a runner reads to get from ``loaded`` to ``desired``."""
+    """Return how many GB a runner loads to get from ``loaded`` to ``desired``."""
     held: list[str] = []
     gb = 0.0
     if loaded is not None and _same_weights(loaded, desired):
@@ -126,9 +126,9 @@
 
 
 def serves_online(loaded: Loaded | None, service: Service) -> bool:
-    """Return whether a runner that holds ``loaded`` answers online callers.
+    """Return whether a runner that holds ``loaded`` serves online callers.
 
-    Any version of the service's model does: during a switch both are served.
+    Any version of the service's model counts: during a switch both are served.
     """
     if loaded is None:
         return False
@@ -136,7 +136,7 @@
 
 
 def next_step(observed: Observed, desired: Loaded) -> Step:
-    """Return what is to be done with a target that should hold ``desired``."""
+    """Return the next step for a target whose desired state is ``desired``."""
     if observed.leaving:
         return Step.NOTHING
     if observed.desired == desired and observed.loading:
@@ -145,9 +145,9 @@
         return Step.NOTHING
     loaded = observed.loaded
     if loaded is None or not loaded.model:
-        return Step.ORDER  # nobody is served by it yet
-    goes_to_batch = desired.role == BATCH and loaded.role != BATCH
-    if _same_weights(loaded, desired) and not goes_to_batch:
+        return Step.ORDER  # it serves no caller yet
+    switches_to_batch = desired.role == BATCH and loaded.role != BATCH
+    if _same_weights(loaded, desired) and not switches_to_batch:
         return Step.ORDER
     return Step.ORDER_OUT
 
