--- a/src/caperridge/decisions/batch_share.py
+++ b/src/caperridge/decisions/batch_share.py
@@ -7,7 +7,7 @@
 
 import math
 
-from caperridge.decisions.step_time import Line
+from caperridge.decisions.step_time import LinearFit
 from caperridge.records import Record
 
 TAIL_SLOWDOWN_RATIO = 1.02
@@ -32,7 +32,7 @@
 
 
 def max_streams(
-    line: Line | None, tail_online: int, slots: int, batch_weight: float
+    line: LinearFit | None, tail_online: int, slots: int, batch_weight: float
 ) -> float:
     """Return how many streams, online and batch, may run in one step.
 
@@ -42,7 +42,7 @@
         slots: slots of the target.
         batch_weight: of the service; 0 favours tail latency, 1 throughput.
 
-    >>> max_streams(Line(0.025, 0.0005), 10, 10, 0.0)
+    >>> max_streams(LinearFit(0.025, 0.0005), 10, 10, 0.0)
     11.2
     """
     if line is None or line.stream_s <= 0 or tail_online <= 0:
@@ -52,16 +52,16 @@
     return round((max_step_s - line.base_s) / line.stream_s, 3)
 
 
-def tail_without_batch(line: Line, tail_online: int, slots: int) -> float:
+def tail_without_batch(line: LinearFit, tail_online: int, slots: int) -> float:
     """Return the online concurrency that the tail would have had without batch.
 
     Longer steps keep each request in the target longer, so batch raises the very
     concurrency that limits it; without this correction its limit would keep growing.
     By Little's law, concurrency is proportional to the step time.
 
-    >>> tail_without_batch(Line(0.04, 0.002), 20, 24)
+    >>> tail_without_batch(LinearFit(0.04, 0.002), 20, 24)
     16.667
-    >>> tail_without_batch(Line(0.04, 0.002), 20, 20)
+    >>> tail_without_batch(LinearFit(0.04, 0.002), 20, 20)
     20.0
     """
     batch_streams = slots - tail_online
--- a/src/caperridge/gateway/edge.py
+++ b/src/caperridge/gateway/edge.py
@@ -1,4 +1,4 @@
-"""The listener for callers: requests, jobs, and reads of their results."""
+"""The HTTP front end for callers: online requests, jobs, and reads of their results."""
 
 import asyncio
 import itertools
@@ -24,23 +24,23 @@
 
 log = logger(__name__)
 
-# Sent while the configuration is not known yet.
+# Sent while no configuration has been read yet.
 STARTING_RETRY_AFTER_S = 0.5
-# Ids of jobs stand in paths, keys and names of objects, of 200 bytes at most.
+# Job ids are part of paths, keys and object names, which have at most 200 bytes.
 JOB_ID = re.compile(r"[A-Za-z0-9._~-]{1,100}")
-# No request for so long while leaving: callers have gone elsewhere.
-QUIET_S = 0.7
-QUIET_LOOK_S = 0.05
-BODY_LIMIT_BYTES = 64 * 2**20
+# While draining, no request for this long means that callers use other instances.
+QUIET_PERIOD_S = 0.7
+QUIET_POLL_INTERVAL_S = 0.05
+MAX_BODY_BYTES = 64 * 2**20
 
 
 class RunningRequest(Record):
     """A request that is being answered.
 
     Attributes:
-        id: as the caller gave it; empty if it gave none.
+        id: as the caller sent it; empty if it sent none.
         path: with the query.
-        arrived: when its head had come, on the loop's clock.
+        arrived: when its head was received, on the event loop's clock.
     """
 
     __slots__ = ("arrived", "id", "path")
@@ -52,19 +52,19 @@
 
 
 class Edge:
-    """Takes callers' requests to whoever serves them.
+    """Dispatches callers' requests by path and route.
 
     Attributes:
-        closing: callers are to go elsewhere.
-        hear_peers: called before a request is placed, so that counts are fresh.
+        closing: the instance drains; connections are closed after their answer.
+        read_peers: called before a request is placed, so that counts are up to date.
 
     Args:
         configuration: in force.
-        forwarder: for online requests.
-        jobs: for jobs and reads.
+        forwarder: serves online requests.
+        jobs: serves jobs and reads of results.
         dialect: names of headers and paths.
         metrics: counted into.
-        limits: of answers.
+        limits: deadlines of answers.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self._running_by_number: dict[int, RunningRequest] = {}
         self._numbers = itertools.count()
         self._last_arrival = 0.0
-        self._ages_by_route: dict[str, CallerWaits] = {}
+        self._waits_by_route: dict[str, CallerWaits] = {}
 
     @property
     def running(self) -> int:
@@ -95,7 +95,7 @@
         return len(self._running_by_number)
 
     def log_cut(self) -> None:
-        """Log each request that still runs when the instance ends."""
+        """Log each request that is still being answered when the instance stops."""
         now = asyncio.get_running_loop().time()
         for running in self._running_by_number.values():
             log.warning(
@@ -106,36 +106,40 @@
             )
 
     def start_draining(
-        self, answers_until: float, careful_from: float = -math.inf
+        self, answers_until: float, reject_long_from: float = -math.inf
     ) -> None:
-        """Have callers go elsewhere, and answer what they sent and still send in time.
+        """Close connections after their answer, and end all answers in time.
 
         Args:
-            answers_until: when the last answer must have been given, on the loop's
+            answers_until: when the last answer must be complete, on the event loop's
                 clock.
-            careful_from: when the balancer has moved callers to other instances, so
-                that one who is refused is served at once.
+            reject_long_from: when the balancer has moved callers to other instances,
+                so that a refused caller is served there at once.
         """
         self.closing = True
-        self._limits.cap(answers_until, careful_from)
+        self._limits.cap(answers_until, reject_long_from)
 
-    async def wait_until_quiet(self, from_time: float, until: float) -> None:
-        """Wait until callers have stopped sending, ``from_time`` at the earliest.
+    async def wait_until_quiet(self, earliest: float, until: float) -> None:
+        """Wait until callers have stopped sending.
 
-        Connections that are kept, or that clients open before the balancer has moved
-        them, may bring requests for a while; ``until`` is the end of patience.
+        Kept connections, and those opened before the balancer has moved the callers,
+        may still carry requests for a while.
+
+        Args:
+            earliest: do not return before, on the event loop's clock.
+            until: return then in any case.
         """
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             now = loop.time()
-            resting = now - self._last_arrival >= QUIET_S and not self.running
-            if now >= from_time and resting:
+            quiet = now - self._last_arrival >= QUIET_PERIOD_S and not self.running
+            if now >= earliest and quiet:
                 return
-            await asyncio.sleep(QUIET_LOOK_S)
+            await asyncio.sleep(QUIET_POLL_INTERVAL_S)
 
     def application(self) -> web.Application:
-        """Return what serves all paths."""
-        application = web.Application(client_max_size=BODY_LIMIT_BYTES)
+        """Return the application that serves all paths."""
+        application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_route("*", "/{path:.*}", self.handle)
         return application
 
@@ -166,7 +170,7 @@
         path = request.raw_path
         paths = self._dialect.paths
         if path.startswith(paths.jobs) or path.startswith(paths.bodies):
-            return await self._read(request)
+            return await self._job_call(request)
         route = table.find(request.host, path)
         if route is None:
             log.info(
@@ -181,7 +185,7 @@
             async with self._limits.within():
                 body = await request.read()
         except TimeoutError:
-            # Nobody has seen it, so its caller may send it to another instance.
+            # It was not forwarded, so the caller may send it to another instance.
             return self._refuse(request, 503, "its body has not come in time")
         if route.kind == BATCH:
             return await self._job(request, route, body, arrived)
@@ -192,9 +196,9 @@
     ) -> web.StreamResponse:
         names = self._dialect.headers
         id = request.headers.get(names.request, "")
-        within_s = min(route.timeout_s, _deadline_s(request, names.deadline))
+        timeout_s = min(route.timeout_s, _deadline_s(request, names.deadline))
         resume = request.headers.get(names.resume, "")
-        age_s = self._age_s(route, request.headers.get(names.deadline, ""))
+        waited_s = self._waited_s(route, request.headers.get(names.deadline, ""))
         inbound = InboundRequest(
             id=id,
             method=request.method,
@@ -203,14 +207,14 @@
             body=body,
             route=route,
             arrived=arrived,
-            deadline=min(arrived + within_s, self._limits.deadline),
-            objective=arrived + (route.objective_s or within_s) - age_s,
+            deadline=min(arrived + timeout_s, self._limits.deadline),
+            objective=arrived + (route.objective_s or timeout_s) - waited_s,
             resume_after=int(resume) if resume.isdigit() else 0,
         )
         reply = AiohttpReply(request, lambda: self.closing)
         self.read_peers()
         try:
-            given_up = await self._forwarder.forward(inbound, reply)
+            failure = await self._forwarder.forward(inbound, reply)
         except asyncio.CancelledError:
             self._metrics.requests.labels(route.kind, "left").inc()
             log.info("caller left", request=id, route=route.name)
@@ -218,11 +222,11 @@
         except (ConnectionError, OSError) as error:
             self._metrics.requests.labels(route.kind, "left").inc()
             log.info("caller left", request=id, route=route.name, reason=str(error))
-            reply.break_off()
+            reply.abort()
             return reply.response or web.Response(status=499)
         loop = asyncio.get_running_loop()
         took_s = round(loop.time() - arrived, 4)
-        if given_up is None:
+        if failure is None:
             assert reply.response is not None
             self._metrics.requests.labels(route.kind, "answered").inc()
             log.info(
@@ -230,39 +234,37 @@
                 request=id,
                 route=route.name,
                 status=reply.response.status,
-                begun_s=reply.begun_after(arrived),
+                begun_s=reply.started_after(arrived),
                 took_s=took_s,
             )
             return reply.response
-        self._metrics.requests.labels(route.kind, _outcome(given_up)).inc()
+        self._metrics.requests.labels(route.kind, _outcome(failure)).inc()
         log.warning(
-            "request given up",
+            "request failed",
             request=id,
             route=route.name,
-            reason=given_up.reason,
-            not_run=given_up.not_run,
-            begun_s=reply.begun_after(arrived),
+            reason=failure.reason,
+            not_run=failure.not_run,
+            begun_s=reply.started_after(arrived),
             took_s=took_s,
         )
         if reply.started:
-            reply.break_off()
+            reply.abort()
             return reply.response
-        return self._given_up(request, given_up)
+        return self._fail(request, failure)
 
-    def _age_s(self, route: Route, deadline_ms: str) -> float:
-        """Return how long the caller has been waiting since its first try."""
+    def _waited_s(self, route: Route, deadline_ms: str) -> float:
+        """Return how long the caller has waited since its first try, in seconds."""
         if not deadline_ms.isdigit():
             return 0.0
-        ages = self._ages_by_route.setdefault(route.name, CallerWaits())
-        return ages.waited_s(int(deadline_ms))
+        waits = self._waits_by_route.setdefault(route.name, CallerWaits())
+        return waits.waited_s(int(deadline_ms))
 
-    def _given_up(
-        self, request: web.Request, given_up: ForwardingFailure
-    ) -> web.Response:
-        if given_up.not_run:
-            return self._refuse(request, 503, given_up.reason, given_up.retry_after_s)
-        status = 504 if given_up.timed_out else 502
-        return self._refuse(request, status, given_up.reason)
+    def _fail(self, request: web.Request, failure: ForwardingFailure) -> web.Response:
+        if failure.not_run:
+            return self._refuse(request, 503, failure.reason, failure.retry_after_s)
+        status = 504 if failure.timed_out else 502
+        return self._refuse(request, status, failure.reason)
 
     async def _job(
         self, request: web.Request, route: Route, body: bytes, arrived: float
@@ -277,7 +279,7 @@
         answer = await self._jobs.accept(route, request.host, id, job, arrived)
         return self._answer(request, answer.status, answer.reason, answer.retry_after_s)
 
-    async def _read(self, request: web.Request) -> web.StreamResponse:
+    async def _job_call(self, request: web.Request) -> web.StreamResponse:
         paths = self._dialect.paths
         bodies = request.path.startswith(paths.bodies)
         id = request.path.removeprefix(paths.bodies if bodies else paths.jobs)
@@ -297,7 +299,7 @@
         answer = await self._jobs.results(id, int(position), wait_s)
         if answer.page is None:
             return self._without_result(request, answer)
-        return self._sent(
+        return self._finish(
             request,
             web.Response(
                 body=self._dialect.results(answer.page),
@@ -310,7 +312,7 @@
         answer = await self._jobs.body(id, item)
         if answer.body is None:
             return self._without_result(request, answer)
-        return self._sent(request, web.Response(body=answer.body))
+        return self._finish(request, web.Response(body=answer.body))
 
     async def _cancel(self, request: web.Request, id: str) -> web.StreamResponse:
         return self._without_result(request, await self._jobs.cancel(id))
@@ -341,23 +343,23 @@
             response.headers[self._dialect.headers.request] = id
         if retry_after_s > 0:
             response.headers["Retry-After"] = f"{retry_after_s:.2f}"
-        return self._sent(request, response)
+        return self._finish(request, response)
 
-    def _sent(self, request: web.Request, response: web.Response) -> web.Response:
+    def _finish(self, request: web.Request, response: web.Response) -> web.Response:
         if self.closing:
             response.force_close()
             response.headers["Connection"] = "close"
         return response
 
 
-def _outcome(given_up: ForwardingFailure) -> str:
-    if given_up.timed_out:
+def _outcome(failure: ForwardingFailure) -> str:
+    if failure.timed_out:
         return "timed_out"
-    return "refused" if given_up.not_run else "failed"
+    return "refused" if failure.not_run else "failed"
 
 
 def _deadline_s(request: web.Request, name: str) -> float:
-    """Return how long the caller waits, in seconds; very long if it does not say."""
+    """Return how long the caller waits, in seconds; infinite if it does not say."""
     try:
         return float(request.headers[name]) / 1000
     except (KeyError, ValueError):
