--- a/src/caperridge/commands/__init__.py
+++ b/src/caperridge/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What changes lasting state; each command is one function."""
+"""Commands: functions that change durable state."""
--- a/src/caperridge/commands/accept_file.py
+++ b/src/caperridge/commands/accept_file.py
@@ -1,8 +1,8 @@
-"""Accepting a file of items: checked line by line and stored in parts as it comes.
+"""Upload of a JSONL file of items: validated by line and stored in parts on arrival.
 
-The file's row says first that it is being uploaded, then that it is stored, and last
-that it is being deleted. It is there before the first part and goes after the last, so
-no part is without a row, and a sweep that gave up on an upload makes its end conflict.
+The state of the file's row is uploading, then stored, and at the end deleting. The row
+is written before the first part and deleted after the last, so no part is ever without
+a row. If a sweep abandons an upload, the transaction that completes it conflicts.
 """
 
 import secrets
@@ -43,15 +43,15 @@
     """A file as stored.
 
     Attributes:
-        id: its name towards the caller.
-        caller: whom it belongs to.
-        items: lines that hold an item.
+        id: the id that the caller uses.
+        caller: name of the caller that owns it.
+        items: number of lines with an item.
         bytes: its size.
-        digest: of its content.
+        digest: digest of its content.
         parts: first item of each part; part ``n`` is the object of that number.
-        created: when its upload began, in seconds since the epoch.
-        used: when the newest job was accepted that refers to it; 0 for none. It
-            changes the row, which is what a sweep under way is refused by.
+        created: when its upload started, in seconds since the epoch.
+        used: when the newest job that refers to it was accepted, in seconds since the
+            epoch; 0 for none. It changes the row, so that a concurrent sweep conflicts.
         state: ``uploading``, ``stored`` or ``deleting``.
     """
 
@@ -91,7 +91,7 @@
 
 
 class BadFile(Record):
-    """Not accepted: every bad line with its number."""
+    """The file was rejected; ``findings`` has an entry for each invalid line."""
 
     __slots__ = ("findings",)
 
@@ -106,14 +106,14 @@
     name: str = "file",
     wall: Callable[[], float] = time.time,
 ) -> Result[StoredFile, WriteError | BadFile]:
-    """Store a JSONL file; acknowledge only once its row is durable.
+    """Store a JSONL file; return only once its row is durable.
 
     Args:
-        platform: where it is kept.
-        caller: whom it belongs to.
-        blocks: the bytes as they arrive.
-        name: what the caller calls the file, for findings.
-        wall: seconds since the epoch, for its retention.
+        platform: where it is stored.
+        caller: name of the caller that owns it.
+        blocks: the content as it arrives.
+        name: the caller's name of the file, for findings.
+        wall: clock in seconds since the epoch, for its retention.
     """
     file_id = "file-" + secrets.token_hex(12)
     uploading = StoredFile(file_id, caller, 0, 0, "", [], wall(), state=UPLOADING)
@@ -152,66 +152,68 @@
 
 
 class _LineReader:
-    """Splits blocks into checked lines; holds one unfinished line at the most."""
+    """Splits blocks into validated lines; buffers at most one incomplete line."""
 
     def __init__(self, name: str) -> None:
         self.findings: list[Finding] = []
         self._name = name
-        self._left = b""
-        self._number = 0
+        self._incomplete = b""
+        self._line_number = 0
         self._lines_by_custom_id: dict[str, int] = {}
 
     def feed(self, block: bytes) -> list[bytes]:
-        lines = (self._left + block).split(b"\n")
-        self._left = lines.pop()
-        if len(self._left) > MAX_LINE_BYTES:
-            self._note(self._number + 1, "the line is too long")
-            self._left = b""
-        return [line for line in lines if self._good(line)]
+        lines = (self._incomplete + block).split(b"\n")
+        self._incomplete = lines.pop()
+        if len(self._incomplete) > MAX_LINE_BYTES:
+            self._add_finding(self._line_number + 1, "the line is too long")
+            self._incomplete = b""
+        return [line for line in lines if self._is_item(line)]
 
     def end(self) -> list[bytes]:
-        last, self._left = self._left, b""
-        return [last] if self._good(last) else []
+        last, self._incomplete = self._incomplete, b""
+        return [last] if self._is_item(last) else []
 
-    def _good(self, line: bytes) -> bool:
-        self._number += 1
+    def _is_item(self, line: bytes) -> bool:
+        self._line_number += 1
         if not line.strip():
             return False
         if len(self._lines_by_custom_id) >= MAX_ITEMS:
-            self._note(self._number, f"more than {MAX_ITEMS} items")
+            self._add_finding(self._line_number, f"more than {MAX_ITEMS} items")
             return False
         try:
             item = orjson.loads(line)
         except orjson.JSONDecodeError as error:
-            self._note(self._number, f"is not JSON: {error}")
+            self._add_finding(self._line_number, f"is not JSON: {error}")
             return False
         return self._check(item)
 
     def _check(self, item: Any) -> bool:
         if not isinstance(item, dict):
-            self._note(self._number, "must be an object")
+            self._add_finding(self._line_number, "must be an object")
             return False
         custom_id = item.get("custom_id")
         if not isinstance(custom_id, str) or not custom_id:
-            self._note(self._number, "custom_id must be a text")
+            self._add_finding(self._line_number, "custom_id must be a text")
             return False
         if len(custom_id) > MAX_CUSTOM_ID_CHARS:
             text = f"custom_id is longer than {MAX_CUSTOM_ID_CHARS} characters"
-            self._note(self._number, text)
+            self._add_finding(self._line_number, text)
             return False
-        first = self._lines_by_custom_id.setdefault(custom_id, self._number)
-        if first != self._number:
-            self._note(self._number, f"custom_id stands already in line {first}")
+        first = self._lines_by_custom_id.setdefault(custom_id, self._line_number)
+        if first != self._line_number:
+            self._add_finding(
+                self._line_number, f"custom_id stands already in line {first}"
+            )
             return False
         if not isinstance(item.get("body"), dict):
-            self._note(self._number, "body must be an object")
+            self._add_finding(self._line_number, "body must be an object")
             return False
         if not isinstance(item.get("url"), str):
-            self._note(self._number, "url must be a text")
+            self._add_finding(self._line_number, "url must be a text")
             return False
         return True
 
-    def _note(self, number: int, text: str) -> None:
+    def _add_finding(self, number: int, text: str) -> None:
         if len(self.findings) < MAX_FINDINGS:
             self.findings.append(Finding(self._name, f"line {number}", text))
 
@@ -244,7 +246,7 @@
         if not self._lines:
             return Ok(None)
         if self._wall() - self._uploading.created > MAX_UPLOAD_S:
-            # Long before the sweep gives it up, so that no part comes after it.
+            # Long before the sweep abandons the upload, so that no part follows it.
             return Err(NotDone("the upload took too long"))
         if not self.parts:
             opened = await self._open()
--- a/src/caperridge/commands/accept_job.py
+++ b/src/caperridge/commands/accept_job.py
@@ -1,4 +1,4 @@
-"""Accepting a job: one row, once, however often it is sent."""
+"""Acceptance of a job, idempotent by the caller's key."""
 
 import secrets
 from typing import Any
@@ -25,7 +25,7 @@
 
 
 class OtherBody(Record):
-    """Not accepted: the idempotency key already names a job with another body."""
+    """The job was rejected: its idempotency key names a job with another body."""
 
     __slots__ = ("job",)
 
@@ -34,20 +34,21 @@
 
 
 def new_job_id() -> str:
-    """Return a job id that no other job has."""
+    """Return a new, random job id."""
     return "batch_" + secrets.token_hex(12)
 
 
 async def accept_job(
     platform: Platform, job: Job, idempotency_key: str = ""
 ) -> Result[Job, WriteError | OtherBody]:
-    """Insert ``job``, or return the one that the same request made before.
+    """Insert ``job``, or return the one that an earlier, equal request inserted.
 
-    Refused if its file is not stored any more. A row keeps the file for the job, and
-    the file's own row changes, so that a sweep that has just looked is refused.
+    Refused if its file is no longer stored. A row protects the file as long as the job
+    exists, and the file's own row changes, so that a sweep that has just read it
+    conflicts.
 
     Args:
-        platform: where it is kept.
+        platform: where it is stored.
         job: with a new id.
         idempotency_key: the caller's; empty for none.
     """
@@ -74,17 +75,18 @@
     if not isinstance(outcome.err_value, Conflict):
         return outcome
     if idempotency_key:
-        return await _resent(platform, job, key_row)
-    return await _settled_late(platform, job, outcome)
+        return await _accepted_earlier(platform, job, key_row)
+    return await _resolve_conflict(platform, job, outcome)
 
 
-async def _settled_late(
+async def _resolve_conflict(
     platform: Platform, job: Job, conflict: Result[Any, WriteError]
 ) -> Result[Job, WriteError | OtherBody]:
-    """Tell whether the conflict is with our own first try.
+    """Find out whether the conflict is with the first attempt of this call.
 
-    Its write token may be gone from the rows by now: others may have worked on the
-    job already. The id is ours alone, so the row's being there tells.
+    Its write token may no longer be in the rows, since other instances may already
+    have changed the job. The id is unique to this call, so the existence of the row
+    decides.
     """
     found = await platform.read([keys.job(job.id)])
     if isinstance(found, Err):
@@ -94,7 +96,7 @@
     return conflict
 
 
-async def _resent(
+async def _accepted_earlier(
     platform: Platform, job: Job, key_row: str
 ) -> Result[Job, WriteError | OtherBody]:
     found = await platform.read([key_row])
--- a/src/caperridge/commands/announce_job.py
+++ b/src/caperridge/commands/announce_job.py
@@ -1,8 +1,8 @@
-"""Telling every instance that a job changed, through one small row.
+"""Change feed of jobs: announces changes to all instances through one small row.
 
-The row holds the newest changes. Whoever polls it learns of a change for one read,
-and need not scan the jobs. It is a hint: a change that could not be announced is
-found by the next scan of the open jobs.
+The row holds the newest changes, so that an instance finds out about a change with one
+read instead of a scan of the jobs. The feed is best effort: a change that could not be
+announced is found by the next scan of the open jobs.
 """
 
 import secrets
@@ -31,9 +31,9 @@
     """Append a change to the row; conflicts with other announcements are retried.
 
     Args:
-        platform: where the row is.
-        job_id: which job; for a lapsed session, its id.
-        state: of the job now, or ``lapsed``.
+        platform: where the row is stored.
+        job_id: id of the job or of the lapsed session.
+        state: the new state of the job, or ``lapsed``.
     """
     key = keys.JOB_CHANGES
     for _ in range(MAX_ATTEMPTS):
--- a/src/caperridge/commands/cancel_job.py
+++ b/src/caperridge/commands/cancel_job.py
@@ -1,4 +1,4 @@
-"""Cancelling a job: a change of its row that every later commit is refused by."""
+"""Cancellation of a job: its row changes, so that later commits are refused."""
 
 import secrets
 
@@ -21,14 +21,14 @@
 async def cancel_job(
     platform: Platform, job_id: str, now: float
 ) -> Result[Committed, WriteError]:
-    """Cancel an open job; one that is cancelled already stays so.
+    """Cancel an open job; for a cancelled job this has no effect.
 
-    A job that has completed is a conflict.
+    A completed job is a conflict.
 
     Args:
-        platform: where it is kept.
-        job_id: which job.
-        now: seconds since the epoch, kept as its end.
+        platform: where it is stored.
+        job_id: id of the job.
+        now: seconds since the epoch, stored as its end.
     """
     key = keys.job(job_id)
     outcome = await transact_settled(
--- a/src/caperridge/commands/chunk_claims.py
+++ b/src/caperridge/commands/chunk_claims.py
@@ -1,4 +1,4 @@
-"""Claiming, splitting and committing chunks, several in one transaction."""
+"""Conditional transactions that claim, split, commit and return several chunks."""
 
 import secrets
 from functools import singledispatch
@@ -33,7 +33,7 @@
 
 
 class FinishedChunk(Record):
-    """A chunk whose results are stored, and the row that makes them count."""
+    """A chunk whose results are stored, and its row with state ``done``."""
 
     __slots__ = ("chunk", "done")
 
@@ -50,14 +50,14 @@
 async def claim_chunks(
     platform: Platform, actions: list[Action], session_id: str
 ) -> Result[Committed, WriteError]:
-    """Carry out a plan, all of it or nothing; durable before any item starts.
+    """Apply all planned actions or none; durable before any item starts.
 
     Refused if one of the chunks changed since it was read, a job is no longer open,
     or the own session was declared lapsed.
 
     Args:
-        platform: where the claims are kept.
-        actions: as planned, of one or more jobs.
+        platform: where the claims are stored.
+        actions: planned actions on one or more jobs.
         session_id: the own session.
     """
     conditions: list[Condition] = [
@@ -75,14 +75,14 @@
 async def commit_chunks(
     platform: Platform, finished: list[FinishedChunk], session_id: str
 ) -> Result[Committed, WriteError]:
-    """Make the results of chunks the ones that count, all of them or none.
+    """Commit the results of all chunks or none.
 
-    Refused if a claim is no longer ours, our session was declared lapsed, or a job
-    was cancelled.
+    Refused if a claim is no longer held by the session, the session was declared
+    lapsed, or a job was cancelled.
 
     Args:
-        platform: where the claims are kept.
-        finished: the chunks, each with its row as it should be.
+        platform: where the claims are stored.
+        finished: the chunks, each with its new row.
         session_id: the own session.
     """
     conditions: list[Condition] = [
@@ -101,7 +101,7 @@
 
 
 class ReturnedChunk(Record):
-    """A chunk that its holder gives back, with the row that its claim left."""
+    """A chunk that its holder returns, with the row that its claim wrote."""
 
     __slots__ = ("chunk", "claimed")
 
@@ -118,12 +118,12 @@
 async def return_chunks(
     platform: Platform, returned: list[ReturnedChunk], session_id: str
 ) -> Result[Committed, WriteError]:
-    """Give claims back, all of them or none; others may then claim the chunks.
+    """Return all claims or none; other instances may then claim the chunks.
 
-    Refused if one of the claims is no longer ours.
+    Refused if one of the claims is no longer held by the session.
 
     Args:
-        platform: where the claims are kept.
+        platform: where the claims are stored.
         returned: the chunks, each with its row as claimed.
         session_id: the own session.
     """
@@ -139,7 +139,7 @@
 
 
 def claimed_state(action: Action, session_id: str) -> ChunkState | None:
-    """Return the row that ``action`` leaves, with us as its holder; None if none."""
+    """Return the row of a claim by ``session_id``; None for a split."""
     if isinstance(action, ClaimNew):
         return ChunkState(action.chunk.end, CLAIMED, session_id)
     if isinstance(action, TakeOver):
@@ -189,7 +189,7 @@
         return [PutRow(key, state.to_map())]
     writes: list[Write] = []
     for part in action.parts:
-        # One death is carried over, so that the next one splits the part again.
+        # One death is carried over, so that the next death splits the part again.
         state = ChunkState(
             part.end,
             FREE,
@@ -201,7 +201,7 @@
     return writes
 
 
-def _previous(seen: ChunkRow) -> str:
-    if seen.state.state == FREE:
-        return seen.state.previous
-    return seen.state.session
+def _previous(row: ChunkRow) -> str:
+    if row.state.state == FREE:
+        return row.state.previous
+    return row.state.session
--- a/src/caperridge/commands/complete_job.py
+++ b/src/caperridge/commands/complete_job.py
@@ -1,4 +1,4 @@
-"""Ending a job whose chunks are all done."""
+"""Completion of a job whose chunks are all done."""
 
 import secrets
 
@@ -20,14 +20,14 @@
 async def complete_job(
     platform: Platform, job_id: str, now: float, completed: int, failed: int
 ) -> Result[Committed, WriteError]:
-    """Mark the job completed; whoever sees its last chunk done may do it.
+    """Mark the job completed; any instance that finds its last chunk done may do so.
 
     Args:
-        platform: where it is kept.
-        job_id: which job.
-        now: seconds since the epoch, kept as its end.
-        completed: its items with an answer.
-        failed: its items that failed for good.
+        platform: where it is stored.
+        job_id: id of the job.
+        now: seconds since the epoch, stored as its end.
+        completed: number of its items with an answer.
+        failed: number of its items that failed for good.
     """
     key = keys.job(job_id)
     fields = {
