--- a/src/caperridge/commands/accept_file.py
+++ b/src/caperridge/commands/accept_file.py
@@ -124,7 +124,7 @@
             stored = await writer.add(line)
             if isinstance(stored, Err):
                 return stored
-    for line in reader.end():
+    for line in reader.finish():
         stored = await writer.add(line)
         if isinstance(stored, Err):
             return stored
@@ -169,7 +169,7 @@
             self._incomplete = b""
         return [line for line in lines if self._is_item(line)]
 
-    def end(self) -> list[bytes]:
+    def finish(self) -> list[bytes]:
         last, self._incomplete = self._incomplete, b""
         return [last] if self._is_item(last) else []
 
--- a/src/caperridge/commands/confirm_intent.py
+++ b/src/caperridge/commands/confirm_intent.py
@@ -1,4 +1,7 @@
-"""Confirming a plan: the one way in which the configuration changes."""
+"""Confirmation of a plan: appends a version to the log by compare-and-swap.
+
+This is the only way in which the configuration changes.
+"""
 
 import asyncio
 import secrets
@@ -24,15 +27,14 @@
 )
 from caperridge.store.settle import transact_settled
 
-SNAPSHOT_INTERVAL_VERSIONS = (
-    50  # versions; a fresh instance reads no more deltas than this
-)
-MAX_INLINE_BYTES = 32 * 1024  # a larger delta is an object of its own
+# A new instance reads at most this many deltas.
+SNAPSHOT_INTERVAL_VERSIONS = 50
+MAX_INLINE_BYTES = 32 * 1024  # a larger delta is stored as a separate object
 MAX_PUT_ATTEMPTS = 3
 
 
 class HeadMoved(Record):
-    """Not done: the configuration changed since the plan; ``plan`` is a new one."""
+    """Refused: the configuration changed since the plan; ``plan`` is a new one."""
 
     __slots__ = ("plan",)
 
@@ -41,14 +43,15 @@
 
 
 class Confirmed(Record):
-    """The plan is a version now, confirmed by this call or by an earlier one.
+    """The plan was confirmed as a version, by this call or by an earlier one.
 
     Attributes:
-        version: which.
+        version: number of the version.
         operator: who confirmed it.
-        already: an earlier call did; its answer may have been lost.
+        already: an earlier call confirmed it; its answer may have been lost.
         configuration: the version itself; None if an earlier call confirmed it.
-        delta: what leads to it; None likewise, and if it has to be read whole.
+        delta: delta from the version before; None if an earlier call confirmed it or
+            if peers have to read the whole version.
     """
 
     __slots__ = ("already", "configuration", "delta", "operator", "version")
@@ -76,9 +79,9 @@
 
     Attributes:
         wanted: the declared configuration; its version is ignored.
-        digest: of the plan that the operator saw.
-        operator: who confirms; kept in the log.
-        at: now, in seconds since the epoch; kept in the log.
+        digest: digest of the plan that the operator saw.
+        operator: who confirms it; stored in the log.
+        at: now, in seconds since the epoch; stored in the log.
         rollback_to: the version whose content ``wanted`` is; 0 if it was declared.
     """
 
@@ -102,15 +105,15 @@
 async def confirm_intent(
     platform: Platform, intent: Intent, known: Configuration | None = None
 ) -> Result[Confirmed, ConfirmError]:
-    """Make the intent the next version if its plan still holds.
+    """Make the intent the next version if its plan is still valid.
 
-    Asked again after a lost answer, it says what became of the first call: the log
-    keeps the plan's digest, and a digest names one base version.
+    A repeated call after a lost answer returns the outcome of the first one: the log
+    stores the plan's digest, and a digest names exactly one base version.
 
     Args:
-        platform: where the log of versions is.
+        platform: where the log of versions is stored.
         intent: the plan's declaration and digest.
-        known: a version already here, so that less has to be read.
+        known: a version that this instance already has, so that less has to be read.
     """
     earlier = await _confirmed_before(platform, intent)
     if isinstance(earlier, Err):
@@ -121,14 +124,14 @@
     if isinstance(read, Err):
         return Err(_nothing_written(read.err_value))
     head = read.ok_value
-    # Thousands of callers take tenths of a second: not on the loop of requests.
+    # Takes tenths of a second for thousands of callers, which would stall the loop.
     plan = await asyncio.to_thread(make_plan, head.configuration, intent.wanted)
     if plan.digest != intent.digest:
         return Err(HeadMoved(plan))
     if not plan.changes and head.row_version:
-        # Nothing differs: no version of its own, so that a pipeline may run again.
+        # An empty plan creates no version, so that a pipeline can run repeatedly.
         return Ok(Confirmed(head.configuration.version, intent.operator, True))
-    entry = await _store(platform, head, intent, len(plan.changes))
+    entry = await _prepare_entry(platform, head, intent, len(plan.changes))
     if isinstance(entry, Err):
         return entry
     entry_row, delta = entry.ok_value
@@ -151,7 +154,7 @@
         return Ok(None)
     found = await read_entry(platform, base + 1)
     if isinstance(found, Err):
-        # Nothing was written by this call; an earlier one is still in doubt.
+        # This call wrote nothing; the outcome of an earlier one is still unknown.
         return Err(_nothing_written(found.err_value))
     entry = found.ok_value
     if entry is None or entry.plan != intent.digest:
@@ -159,10 +162,10 @@
     return Ok(Confirmed(entry.version, entry.operator, already=True))
 
 
-async def _store(
+async def _prepare_entry(
     platform: Platform, head: Head, intent: Intent, changes: int
 ) -> Result[tuple[LogEntry, PackedDelta | None], WriteError]:
-    """Store what the new version needs; return its log entry and its delta."""
+    """Store the objects of the new version; return its log entry and its delta."""
     version = head.configuration.version + 1
     confirmed = intent.wanted.replace(version=version)
     entry = LogEntry(
@@ -199,8 +202,8 @@
     stored = await _put(platform, entry.snapshot, data)
     if isinstance(stored, Err):
         return stored
-    # The delta says nothing of what only the newer release knows, and those who know
-    # it must not keep it: everybody has to start from this snapshot.
+    # The delta lacks the fields that only the newer release knows, and instances of
+    # that release must not keep them: every instance has to load this snapshot.
     return Ok((entry, None if newer else packed))
 
 
@@ -209,10 +212,10 @@
 
 
 async def _put(platform: Platform, name: str, data: bytes) -> Result[None, NotDone]:
-    """Put an object that nothing refers to yet, named by its content.
+    """Store an object that nothing refers to yet, named by a digest of its content.
 
-    An unknown outcome therefore changes nothing: the put is repeated, and given up
-    as not done.
+    An unknown outcome is therefore harmless: the put is retried, and after the last
+    attempt it is reported as not done.
     """
     error: NotDone | Unknown = NotDone("the object store was not asked")
     for _ in range(MAX_PUT_ATTEMPTS):
@@ -236,7 +239,7 @@
         else RowAbsent(keys.CONFIGURATION_HEAD)
     )
     row = entry.to_map()
-    # The head says where to read on; the delta itself stands in the log only.
+    # The head is only a pointer; the delta itself is stored in the log.
     pointer = {**row, "delta": b""}
     return await transact_settled(
         platform,
@@ -252,7 +255,7 @@
 async def _after_conflict(
     platform: Platform, intent: Intent
 ) -> Result[Confirmed, ConfirmError]:
-    """Say who won: an equal plan confirmed elsewhere, or another change."""
+    """Return the winner: the same plan confirmed elsewhere, or another change."""
     earlier = await _confirmed_before(platform, intent)
     if isinstance(earlier, Err):
         return earlier
--- a/src/caperridge/commands/forget_call.py
+++ b/src/caperridge/commands/forget_call.py
@@ -1,4 +1,4 @@
-"""Forgetting a keyed call whose key need not be remembered any longer."""
+"""Removal of a keyed call whose retention is over."""
 
 import secrets
 
@@ -18,10 +18,10 @@
 
 
 async def delete_call(platform: Platform, row: Row) -> Result[Committed, WriteError]:
-    """Remove the call's object and its row, unless the row changed since it was read.
+    """Delete the call's object and its row, unless the row changed since it was read.
 
-    The object goes first: a row without its object says so to a resend, while an
-    object without its row would stay for ever.
+    The object is deleted first: a resend can detect a row without its object, while an
+    object without its row would never be deleted.
     """
     claim = CallClaim.from_map(row.value)
     if claim.stored:
@@ -30,7 +30,7 @@
             return removed
     conditions: list[Condition] = [
         RowVersion(row.key, row.version),
-        # A row that was removed and made anew may have the same version.
+        # A row that was deleted and inserted again may have the same version.
         FieldEquals(row.key, "request", claim.request),
     ]
     return await platform.transact(
--- a/src/caperridge/commands/orders.py
+++ b/src/caperridge/commands/orders.py
@@ -1,4 +1,4 @@
-"""Taking over and releasing targets, and beginning and ending loads."""
+"""Take-over and release of targets, and the list of loads at a weight store."""
 
 import secrets
 
@@ -26,17 +26,17 @@
 async def acquire_target(
     platform: Platform, target: str, seen: Row | None, row: OrderRow
 ) -> Result[Committed, WriteError]:
-    """Become the one who orders ``target``.
+    """Acquire the order lease of ``target``.
 
     Args:
-        platform: where the row is.
-        target: which one.
-        seen: its row as read, whose holder has ended; None if there is none.
-        row: with the own session and the raised fencing number.
+        platform: where the row is stored.
+        target: id of the target.
+        seen: its row as read, whose holder's session has ended; None if there is none.
+        row: the new row, with the own session and the incremented fencing number.
     """
     key = keys.order(target)
     conditions = [
-        _as_seen(key, seen),
+        _unchanged(key, seen),
         FieldEquals(keys.session(row.holder), "state", ALIVE),
     ]
     return await transact_settled(
@@ -47,7 +47,7 @@
 async def release_target(
     platform: Platform, target: str, session: str
 ) -> Result[Committed, WriteError]:
-    """Let another instance order ``target``; the last order has been answered."""
+    """Release the order lease of ``target``, after its last order was answered."""
     key = keys.order(target)
     return await transact_settled(
         platform,
@@ -60,13 +60,20 @@
 async def put_loads(
     platform: Platform, store: str, seen: Row | None, loads: list[Load]
 ) -> Result[Committed, WriteError]:
-    """Replace the list of loads under way at a weight store, if it is as seen."""
+    """Replace the list of running loads of a weight store, if it is unchanged.
+
+    Args:
+        platform: where the list is stored.
+        store: name of the weight store.
+        seen: the row of the list as read; None if there is none.
+        loads: the new list.
+    """
     key = keys.loading(store)
     value = {"loads": [load.to_map() for load in loads]}
     return await transact_settled(
-        platform, [_as_seen(key, seen)], [PutRow(key, value)], secrets.token_hex(8)
+        platform, [_unchanged(key, seen)], [PutRow(key, value)], secrets.token_hex(8)
     )
 
 
-def _as_seen(key: str, seen: Row | None) -> Condition:
+def _unchanged(key: str, seen: Row | None) -> Condition:
     return RowAbsent(key) if seen is None else RowVersion(key, seen.version)
--- a/src/caperridge/commands/plain_claims.py
+++ b/src/caperridge/commands/plain_claims.py
@@ -1,4 +1,4 @@
-"""Claiming a keyed call, recording its outcome, giving the claim back."""
+"""Claims of keyed calls: conditional rows that claim, record an outcome or release."""
 
 import secrets
 
@@ -28,7 +28,7 @@
 
 
 class Claimed(Record):
-    """Not claimed: the key names a call already. ``claim`` is None if it just went."""
+    """Refused: the key is claimed. ``claim`` is None if it was deleted meanwhile."""
 
     __slots__ = ("claim",)
 
@@ -42,11 +42,11 @@
 async def claim_call(
     platform: Platform, key: str, claim: CallClaim
 ) -> Result[Committed, ClaimError]:
-    """Make ``claim`` the only one that may send the call; durable before it is sent.
+    """Insert ``claim``, whose request alone may send the call; durable before that.
 
     Args:
-        platform: where the row is kept.
-        key: of the row.
+        platform: where the row is stored.
+        key: key of the row.
         claim: in state ``running``.
     """
     session = keys.session(claim.session)
@@ -68,12 +68,12 @@
 async def record_answer(
     platform: Platform, key: str, done: CallClaim
 ) -> Result[Committed, WriteError]:
-    """Keep the call's answer for resends; a large body goes to an object first.
+    """Store the call's answer for resends; a large body is first put in an object.
 
     Args:
-        platform: where the row is kept.
-        key: of the row.
-        done: in state ``done``, its body in place.
+        platform: where the row is stored.
+        key: key of the row.
+        done: in state ``done``, with its body.
     """
     if len(done.body) > MAX_ROW_BYTES:
         name = f"{key}/{done.request}"
@@ -82,33 +82,35 @@
             return stored
         done = done.replace(body=b"", stored=name)
     assert done.state == DONE
-    return await _end(platform, key, done.request, [PutRow(key, done.to_map())])
+    return await _record_outcome(
+        platform, key, done.request, [PutRow(key, done.to_map())]
+    )
 
 
 async def record_lost(
     platform: Platform, key: str, request: str, reason: str, now: float
 ) -> Result[Committed, WriteError]:
-    """Note that the call may have run and its answer is lost for good."""
+    """Record that the call may have run and its answer is lost for good."""
     fields = {"state": LOST, "reason": reason, "ended": now}
-    return await _end(platform, key, request, [SetFields(key, fields)])
+    return await _record_outcome(platform, key, request, [SetFields(key, fields)])
 
 
 async def release_call(
     platform: Platform, key: str, request: str
 ) -> Result[Committed, WriteError]:
-    """Give the claim back: the call was certainly not run, a resend may send it."""
+    """Release the claim of a call that certainly did not run; a resend may send it."""
     conditions = [
         FieldEquals(key, "request", request),
         FieldEquals(key, "state", RUNNING),
     ]
-    # A lost answer needs no settling: whether the row stays or goes, no call is sent
-    # twice, and a row that stays says no more than that the outcome is unknown.
+    # A lost answer need not be resolved: whether the row is deleted or not, no call is
+    # sent twice, and a remaining row only means that the outcome is unknown.
     return await platform.transact(
         conditions, [DeleteRow(key)], token=secrets.token_hex(8)
     )
 
 
-async def _end(
+async def _record_outcome(
     platform: Platform, key: str, request: str, writes: list[Write]
 ) -> Result[Committed, WriteError]:
     conditions = [
--- a/src/caperridge/commands/sessions.py
+++ b/src/caperridge/commands/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: one row for each instance, which keeps all of its claims alive."""
+"""Sessions: one lease row for each instance, which keeps all of its claims alive."""
 
 import secrets
 
@@ -36,9 +36,10 @@
 async def renew_session(
     platform: Platform, session_id: str, renewals: int, configuration_version: int = 0
 ) -> Result[Committed, WriteError]:
-    """Show that the session lives; refused once somebody declared it lapsed.
+    """Renew the lease of the session; refused once it was declared lapsed.
 
-    It also shows the configuration in force at its holder, for operators who wait.
+    The renewal also reports the configuration in force at its holder, for operators who
+    wait for a version.
     """
     key = keys.session(session_id)
     fields = {"renewals": renewals, "configuration_version": configuration_version}
@@ -54,8 +55,8 @@
 ) -> Result[Committed, WriteError]:
     """Declare the session of another instance lapsed.
 
-    Refused if it was renewed since ``seen_version``, which the one who declares it
-    must have watched for the whole lease on its own clock.
+    Refused if it was renewed since ``seen_version``, which the caller must have
+    observed unchanged for the whole lease on its own clock.
     """
     key = keys.session(session_id)
     return await transact_settled(
@@ -69,7 +70,7 @@
 async def close_session(
     platform: Platform, session_id: str
 ) -> Result[Committed, WriteError]:
-    """End the own session, so that its claims are free at once."""
+    """Close the own session, so that its claims are free immediately."""
     key = keys.session(session_id)
     return await transact_settled(
         platform,
--- a/src/caperridge/commands/started_items.py
+++ b/src/caperridge/commands/started_items.py
@@ -1,4 +1,4 @@
-"""Saying durably that items are started, before their one call, and taking it back."""
+"""Write-ahead records of started items, for services that are not repeatable."""
 
 import secrets
 
@@ -28,9 +28,9 @@
     Attributes:
         job: id of the job.
         lane: first item of its lane.
-        start: its own first item.
-        attempts: of its row; another claim has another number.
-        session: of the holder.
+        start: first item of the chunk.
+        attempts: attempts of its row, which differ from claim to claim.
+        session: session of the holder.
     """
 
     __slots__ = ("attempts", "job", "lane", "session", "start")
@@ -50,7 +50,7 @@
         return keys.chunk(self.job, self.start)
 
     def conditions(self) -> list[Condition]:
-        """Return what holds as long as its holder may start items of it."""
+        """Return the conditions under which its holder may start items."""
         return [
             FieldEquals(keys.session(self.session), "state", ALIVE),
             FieldEquals(keys.job(self.job), "state", OPEN),
@@ -75,13 +75,13 @@
 async def record_started_items(
     platform: Platform, rows: list[StartedRow]
 ) -> Result[Committed, WriteError]:
-    """Make it durable that the items are started; only then may they be sent.
+    """Record durably that the items are started; only then may they be sent.
 
-    Refused if a chunk is no longer its holder's, or a job has ended.
+    Refused if a chunk is no longer held by its holder, or a job is no longer open.
 
     Args:
-        platform: where the rows are kept.
-        rows: of any chunks.
+        platform: where the rows are stored.
+        rows: rows of any chunks.
     """
     conditions: list[Condition] = []
     writes: list[Write] = []
@@ -97,15 +97,15 @@
 async def return_unsent_items(
     platform: Platform, row: StartedRow, sent: list[int]
 ) -> Result[Committed, WriteError]:
-    """Take back what was started but never sent, so that the next holder may send it.
+    """Withdraw the records of items that were never sent, for the next holder to send.
 
     Args:
-        platform: where the row is kept.
+        platform: where the row is stored.
         row: as it was written.
         sent: those of its items that may have been sent.
     """
     write: Write = PutRow(row.key, {"indexes": sent}) if sent else DeleteRow(row.key)
-    # A lost answer needs no settling: a row that stays only makes items unknown.
+    # A lost answer need not be resolved: a remaining row only makes items unknown.
     return await platform.transact(
         row.chunk.conditions(), [write], secrets.token_hex(8)
     )
--- a/src/caperridge/commands/sweep_job.py
+++ b/src/caperridge/commands/sweep_job.py
@@ -1,6 +1,7 @@
-"""Removing what is past its retention, in steps that may stop anywhere.
+"""Garbage collection of jobs, files and sessions past their retention.
 
-A job's row goes last: as long as it stands, the next sweep finds what is left.
+A sweep may stop after any step. The row of a job is deleted last: as long as it exists,
+the next sweep finds what remains.
 """
 
 import secrets
@@ -22,17 +23,17 @@
 
 
 async def sweep_objects(
-    platform: Platform, prefix: str, kept: set[str], most: int
+    platform: Platform, prefix: str, retained: set[str], limit: int
 ) -> Result[int, WriteError]:
-    """Delete up to ``most`` objects with ``prefix`` but for those in ``kept``."""
+    """Delete up to ``limit`` objects with ``prefix`` except those in ``retained``."""
     listed = await platform.list_objects(prefix)
     if isinstance(listed, Err):
         return listed
     deleted = 0
     for name in listed.ok_value:
-        if name in kept:
+        if name in retained:
             continue
-        if deleted >= most:
+        if deleted >= limit:
             break
         outcome = await platform.delete_object(name)
         if isinstance(outcome, Err):
@@ -48,7 +49,7 @@
         return rows
     if not rows.ok_value:
         return Ok(0)
-    # A delete that took effect unseen is found done by the next sweep.
+    # If the answer of a delete is lost, the next sweep finds the rows gone.
     outcome = await platform.transact(
         [], [DeleteRow(row.key) for row in rows.ok_value], secrets.token_hex(8)
     )
@@ -56,10 +57,10 @@
 
 
 async def sweep_job(
-    platform: Platform, job_id: str, file_id: str, most: int
+    platform: Platform, job_id: str, file_id: str, limit: int
 ) -> Result[int, WriteError]:
-    """Remove a part of a job past its retention; 0 once nothing is left of it."""
-    outcome = await sweep_objects(platform, keys.results(job_id), set(), most)
+    """Delete a part of a job past its retention; return 0 once all of it is deleted."""
+    outcome = await sweep_objects(platform, keys.results(job_id), set(), limit)
     if isinstance(outcome, Err) or outcome.ok_value:
         return outcome
     for prefix in (keys.chunks(job_id), keys.started_items(job_id)):
@@ -76,10 +77,10 @@
 async def mark_file_deleting(
     platform: Platform, file_id: str, seen_version: int
 ) -> Result[bool, WriteError]:
-    """Mark a file as being deleted, unless a job refers to it.
+    """Mark a file as being deleted; return False if a job refers to it.
 
-    Refused if its row changed since ``seen_version``: a job was accepted, or the
-    upload ended.
+    Refused if its row changed since ``seen_version``, because a job was accepted or
+    the upload was completed.
     """
     jobs = await platform.scan(keys.jobs_of_file(file_id), "", 1)
     if isinstance(jobs, Err):
@@ -96,11 +97,11 @@
 
 
 async def sweep_file(
-    platform: Platform, file_id: str, most: int
+    platform: Platform, file_id: str, limit: int
 ) -> Result[int, WriteError]:
-    """Remove parts of a file that was given up, and its row last; return how many."""
-    outcome = await sweep_objects(platform, keys.file(file_id) + "/", set(), most)
-    if isinstance(outcome, Err) or outcome.ok_value >= most:
+    """Delete parts of a file in state deleting, its row last; return how many."""
+    outcome = await sweep_objects(platform, keys.file(file_id) + "/", set(), limit)
+    if isinstance(outcome, Err) or outcome.ok_value >= limit:
         return outcome
     removed = await platform.transact(
         [FieldEquals(keys.file(file_id), "state", DELETING)],
@@ -111,7 +112,7 @@
 
 
 async def sweep_session(platform: Platform, session_id: str) -> Result[int, WriteError]:
-    """Remove a session that ended long ago, and its checkpoints first."""
+    """Delete a session that ended long ago, its checkpoints first."""
     outcome = await sweep_objects(
         platform, keys.checkpoints(session_id), set(), MAX_ROWS
     )
--- a/src/caperridge/queries/__init__.py
+++ b/src/caperridge/queries/__init__.py
@@ -1,1 +1,1 @@
-"""What only reads state; nothing here writes."""
+"""Queries: functions that read state and never write it."""
--- a/src/caperridge/queries/configuration.py
+++ b/src/caperridge/queries/configuration.py
@@ -1,8 +1,8 @@
-"""Reading the configuration: the head of the log, its deltas and its snapshots.
+"""Reads of the configuration log: its head, deltas and snapshots.
 
-The head names the newest version and the newest snapshot. A reader that knows a
-version not below that snapshot reads only the log's rows above it; any other reads
-the snapshot and the rows above that.
+The head names the newest version and the newest snapshot. A reader that already has a
+version at or above that snapshot reads only the log's rows above its version; any
+other reader reads the snapshot and the rows above it.
 """
 
 from typing import Any
@@ -18,15 +18,15 @@
 
 
 class Head(Record):
-    """The newest version; ``row_version`` is 0 if nothing was ever confirmed.
+    """The newest version; ``row_version`` is 0 if no version was ever confirmed.
 
     Attributes:
         configuration: the newest version itself.
-        row_version: of the head's row, for the condition of the next confirm.
-        snapshot: object with the newest whole version that is stored.
-        snapshot_version: which one that is.
-        format: of the release that confirmed it.
-        deltas: those that were read on the way, in order.
+        row_version: version of the head's row, the condition of the next confirmation.
+        snapshot: name of the object with the newest stored snapshot.
+        snapshot_version: version of that snapshot.
+        format: format number of the release that confirmed the newest version.
+        deltas: the deltas that were read, in order.
     """
 
     __slots__ = (
@@ -62,14 +62,14 @@
         version: its number.
         plan: digest of the plan that was confirmed.
         operator: who confirmed it.
-        snapshot: object with the newest whole version at that time.
-        snapshot_version: which one that is.
+        snapshot: name of the object with the newest snapshot at that time.
+        snapshot_version: version of that snapshot.
         delta: msgpack of the delta from the version before; empty if in an object.
-        delta_object: the object's name, for a large delta.
+        delta_object: name of the object with a large delta; empty for none.
         at: when it was confirmed, in seconds since the epoch.
-        changes: how many things it changed.
-        rollback_to: the version it went back to; 0 if it was declared.
-        format: of the release that confirmed it.
+        changes: number of entries that it changed.
+        rollback_to: the version that it restored; 0 if it was declared.
+        format: format number of the release that confirmed it.
     """
 
     __slots__ = (
@@ -113,7 +113,7 @@
         self.rollback_to = rollback_to
 
     def summary(self) -> dict[str, Any]:
-        """Return what an operator wants to see of it."""
+        """Return the fields that are shown to operators."""
         return {
             "version": self.version,
             "operator": self.operator,
@@ -127,7 +127,7 @@
 async def read_head(
     platform: Platform, known: Configuration | None = None
 ) -> Result[Head, ReadError]:
-    """Return the head; only what is above ``known`` is read where possible."""
+    """Return the head; where possible, read only the versions above ``known``."""
     found = await platform.read([keys.CONFIGURATION_HEAD])
     if isinstance(found, Err):
         return found
@@ -161,7 +161,7 @@
 async def read_version(
     platform: Platform, version: int
 ) -> Result[Configuration | None, ReadError]:
-    """Return one version out of the log, or None if it was never confirmed."""
+    """Return one version of the log, or None if it was never confirmed."""
     if version == 0:
         return Ok(Configuration())
     entry = await read_entry(platform, version)
@@ -176,13 +176,13 @@
 async def read_history(
     platform: Platform, newest: int, limit: int
 ) -> Result[list[LogEntry], ReadError]:
-    """Return up to ``limit`` entries of the log from ``newest`` down."""
-    wanted = range(newest, max(0, newest - limit), -1)
-    found = await platform.read([keys.configuration_version(v) for v in wanted])
+    """Return up to ``limit`` entries of the log from ``newest`` downwards."""
+    versions = range(newest, max(0, newest - limit), -1)
+    found = await platform.read([keys.configuration_version(v) for v in versions])
     if isinstance(found, Err):
         return found
     entries: list[LogEntry] = []
-    for version in wanted:
+    for version in versions:
         row = found.ok_value.get(keys.configuration_version(version))
         if row is not None:
             entries.append(LogEntry.from_map(row.value))
@@ -192,7 +192,7 @@
 async def _build(
     platform: Platform, entry: LogEntry, known: Configuration | None
 ) -> Result[tuple[Configuration, list[PackedDelta]], ReadError]:
-    """Return the version of ``entry`` and the deltas that were needed."""
+    """Return the version of ``entry`` and the deltas that were read for it."""
     base = known
     if base is None or not entry.snapshot_version <= base.version <= entry.version:
         snapshot = await platform.get_object(entry.snapshot)
--- a/src/caperridge/queries/explain.py
+++ b/src/caperridge/queries/explain.py
@@ -1,4 +1,4 @@
-"""Explaining one request: from the own traces, or from the peer that served it."""
+"""Lookup of a request's trace, on this instance or on the peer that served it."""
 
 import asyncio
 from typing import Any
@@ -11,11 +11,11 @@
 
 
 class PendingTrace:
-    """One question that is out.
+    """A trace request that some peers have not answered.
 
     Attributes:
-        answer: set with the trace, or with None when nobody has it.
-        left: peers that have not answered yet.
+        answer: set to the trace, or to None if no peer has it.
+        unanswered: number of peers that have not answered.
     """
 
     __slots__ = ("answer", "unanswered")
@@ -27,49 +27,49 @@
 
 
 class TraceLookup:
-    """Finds traces, here and at peers.
+    """Finds traces on this instance and on peers.
 
     Args:
-        traces: of this instance.
-        peers: the others; may be exchanged once they are wired.
+        traces: traces of this instance.
+        peers: the other instances; may be replaced once they are connected.
     """
 
     def __init__(self, traces: Traces, peers: Peers) -> None:
         self.peers = peers
         self._traces = traces
-        self._asked_by_number: dict[int, PendingTrace] = {}
+        self._pending_by_number: dict[int, PendingTrace] = {}
         self._number = 0
 
     async def explain(self, request: str) -> dict[str, Any] | None:
-        """Return the trace of ``request``; None if no instance keeps one."""
+        """Return the trace of ``request``; None if no instance has one."""
         trace = self._traces.find(request)
         if trace is not None:
             return trace.to_map()
         self._number += 1
         number = self._number
-        asked = self._asked_by_number[number] = PendingTrace()
+        pending = self._pending_by_number[number] = PendingTrace()
         try:
-            asked.unanswered = self.peers.send_all(TraceAsk(number, request))
-            if not asked.unanswered:
+            pending.unanswered = self.peers.send_all(TraceAsk(number, request))
+            if not pending.unanswered:
                 return None
             async with asyncio.timeout(TRACE_TIMEOUT_S):
-                return await asked.answer
+                return await pending.answer
         except TimeoutError:
             return None
         finally:
-            del self._asked_by_number[number]
+            del self._pending_by_number[number]
 
     def answer_peer(self, sender: str, message: TraceAsk) -> None:
-        """Answer the question of a peer."""
+        """Answer the trace request of a peer."""
         trace = self._traces.find(message.request)
         found = trace.to_map() if trace is not None else None
         self.peers.send(sender, TraceAnswer(message.number, found))
 
     def record_answer(self, _sender: str, message: TraceAnswer) -> None:
-        """Take in the answer of a peer."""
-        asked = self._asked_by_number.get(message.number)
-        if asked is None or asked.answer.done():
+        """Record the answer of a peer."""
+        pending = self._pending_by_number.get(message.number)
+        if pending is None or pending.answer.done():
             return
-        asked.unanswered -= 1
-        if message.trace is not None or asked.unanswered <= 0:
-            asked.answer.set_result(message.trace)
+        pending.unanswered -= 1
+        if message.trace is not None or pending.unanswered <= 0:
+            pending.answer.set_result(message.trace)
--- a/src/caperridge/queries/facts.py
+++ b/src/caperridge/queries/facts.py
@@ -1,4 +1,4 @@
-"""What a plan's effects are told by: the targets, the open jobs, and who asks."""
+"""Read of the context of a plan: the targets, the open jobs and the operator."""
 
 from collections.abc import Iterable
 
@@ -16,13 +16,13 @@
     targets: Iterable[ListedMember],
     book: LoadedStates,
 ) -> PlanContext:
-    """Return the facts as this instance knows them.
+    """Return the context of a plan as known to this instance.
 
     Args:
-        platform: asked for the open jobs.
-        operator: who asks for the plan.
-        targets: from the platform's list.
-        book: what they were last said to hold.
+        platform: where the open jobs are read.
+        operator: who requests the plan.
+        targets: the platform's list of targets.
+        book: what they last reported to hold.
     """
     runners: list[Runner] = []
     for member in targets:
--- a/src/caperridge/queries/in_force.py
+++ b/src/caperridge/queries/in_force.py
@@ -1,4 +1,4 @@
-"""Where a version is in force: what each instance's session row says."""
+"""Rollout status of a version, from the session rows of the instances."""
 
 from result import Err, Ok, Result
 
@@ -10,13 +10,13 @@
 
 
 class InForce(Record):
-    """Who has a version in force.
+    """The instances on which a version is in force.
 
     Attributes:
-        version: which is asked for.
-        in_force: instances that have it or a higher one.
-        behind: the version of each that said a lower one.
-        not_reached: instances that are listed, but nobody has heard of their version.
+        version: the version that was asked for.
+        in_force: instances with that version or a higher one.
+        behind: the version of each instance that reported a lower one.
+        not_reached: listed instances that have not reported a version.
     """
 
     __slots__ = ("behind", "in_force", "not_reached", "version")
@@ -37,35 +37,35 @@
 def merge_versions(
     version: int, listed: set[str], versions_by_instance: dict[str, int]
 ) -> InForce:
-    """Return who has ``version``, of what was heard from whom.
+    """Return the instances with ``version``, from the versions that they reported.
 
     >>> merge_versions(5, {"a", "b", "c"}, {"a": 5, "b": 4, "gone": 5})
     InForce(behind={'b': 4}, in_force=['a'], not_reached=['c'], version=5)
     """
-    found = InForce(version, [], {}, [])
+    status = InForce(version, [], {}, [])
     for instance in sorted(listed):
-        heard = versions_by_instance.get(instance)
-        if heard is None:
-            found.not_reached.append(instance)
-        elif heard >= version:
-            found.in_force.append(instance)
+        reported = versions_by_instance.get(instance)
+        if reported is None:
+            status.not_reached.append(instance)
+        elif reported >= version:
+            status.in_force.append(instance)
         else:
-            found.behind[instance] = heard
-    return found
+            status.behind[instance] = reported
+    return status
 
 
 async def read_versions(platform: Platform) -> Result[dict[str, int], ReadError]:
-    """Return the version that each live session's last renewal told, by instance."""
+    """Return the version in the last renewal of each live session, by instance."""
     rows = await scan_all(platform, keys.SESSIONS)
     if isinstance(rows, Err):
         return rows
     versions_by_instance: dict[str, int] = {}
     for row in rows.ok_value:
-        told = row.value.get("configuration_version")
-        if row.value["state"] != ALIVE or told is None:
+        reported = row.value.get("configuration_version")
+        if row.value["state"] != ALIVE or reported is None:
             continue
         instance = row.value["instance"]
         versions_by_instance[instance] = max(
-            told, versions_by_instance.get(instance, 0)
+            reported, versions_by_instance.get(instance, 0)
         )
     return Ok(versions_by_instance)
--- a/src/caperridge/queries/jobs.py
+++ b/src/caperridge/queries/jobs.py
@@ -1,4 +1,4 @@
-"""Reading jobs: one, its progress, its items and its results."""
+"""Reads of jobs, their progress, chunks, files and results."""
 
 from collections.abc import AsyncIterator
 
@@ -15,7 +15,7 @@
 
 
 class Progress(Record):
-    """How far a job is: items by what became of them, and chunks by state."""
+    """The progress of a job: numbers of items by result, and of chunks by state."""
 
     __slots__ = ("chunks_claimed", "chunks_done", "completed", "failed")
 
@@ -33,7 +33,7 @@
 
 
 async def read_job(platform: Platform, job_id: str) -> Result[Job | None, ReadError]:
-    """Return the job, or None if there is none of that id."""
+    """Return the job, or None if there is no job with that id."""
     return await read_record(platform, keys.job(job_id), Job)
 
 
@@ -46,14 +46,15 @@
 async def read_changes(
     platform: Platform, after: int | None
 ) -> Result[tuple[int, list[list[str]] | None], ReadError]:
-    """Return the number of the newest change of a job, and the changes since.
+    """Return the sequence number of the newest job change, and the changes since.
 
     Args:
-        platform: where they are.
-        after: number of the last change known; None for none.
+        platform: where they are stored.
+        after: sequence number of the last known change; None for none.
 
     Returns:
-        The changes are pairs of id and state; None if some are no longer kept.
+        The number, and the changes as pairs of id and state; None instead of the
+        changes if some are no longer stored.
     """
     found = await platform.read([keys.JOB_CHANGES])
     if isinstance(found, Err):
@@ -67,19 +68,19 @@
 
 
 async def read_view(platform: Platform, job: Job) -> Result[JobView, ReadError]:
-    """Return the chunks of ``job`` that were ever claimed."""
+    """Return the chunks of ``job`` that have been claimed at least once."""
     rows = await scan_all(platform, keys.chunks(job.id))
     if isinstance(rows, Err):
         return rows
-    seen_by_start: dict[int, ChunkRow] = {}
+    rows_by_start: dict[int, ChunkRow] = {}
     for row in rows.ok_value:
         start = int(row.key.rpartition("/")[2])
-        seen_by_start[start] = ChunkRow(ChunkState.from_map(row.value), row.version)
-    return Ok(JobView(job, seen_by_start))
+        rows_by_start[start] = ChunkRow(ChunkState.from_map(row.value), row.version)
+    return Ok(JobView(job, rows_by_start))
 
 
 async def read_progress(platform: Platform, job: Job) -> Result[Progress, ReadError]:
-    """Return how far ``job`` is; one that is completed needs no read."""
+    """Return the progress of ``job``; a completed job needs no read."""
     if job.state == COMPLETED:
         return Ok(Progress(completed=job.completed, failed=job.failed))
     view = await read_view(platform, job)
@@ -87,10 +88,10 @@
         return view
     progress = Progress()
     progress.completed, progress.failed = view.ok_value.counts()
-    for seen in view.ok_value.rows_by_start.values():
-        if seen.state.state == DONE:
+    for row in view.ok_value.rows_by_start.values():
+        if row.state.state == DONE:
             progress.chunks_done += 1
-        elif seen.state.state == CLAIMED:
+        elif row.state.state == CLAIMED:
             progress.chunks_claimed += 1
     return Ok(progress)
 
@@ -98,7 +99,7 @@
 async def read_file(
     platform: Platform, file_id: str
 ) -> Result[StoredFile | None, ReadError]:
-    """Return what is stored of a file, or None if it is not there as a whole."""
+    """Return a stored file, or None if there is none or it is incomplete."""
     key = keys.file(file_id)
     found = await platform.read([key])
     if isinstance(found, Err):
@@ -111,19 +112,19 @@
 async def stream_results(
     platform: Platform, job: Job, failed: bool
 ) -> AsyncIterator[Result[bytes, ReadError]]:
-    """Yield the results so far, in order of the items, as JSON lines.
+    """Yield the results of committed chunks, in order of the items, as JSON lines.
 
     Args:
-        platform: where they are.
-        job: whose.
+        platform: where they are stored.
+        job: the job.
         failed: yield the failed items rather than the completed ones.
     """
     view = await read_view(platform, job)
     if isinstance(view, Err):
         yield view
         return
-    for start, seen in sorted(view.ok_value.rows_by_start.items()):
-        state = seen.state
+    for start, row in sorted(view.ok_value.rows_by_start.items()):
+        state = row.state
         if state.state != DONE or not (state.failed if failed else state.completed):
             continue
         data = await platform.get_object(state.result)
@@ -134,21 +135,23 @@
             yield Err(NotDone(f"the results from item {start} are missing"))
             return
         lines = data.ok_value.splitlines(keepends=True)
-        # A failed item's line says so in its first member.
-        wanted = [line for line in lines if line.startswith(b'{"error":null') != failed]
-        yield Ok(b"".join(wanted))
+        # The first member of a line shows whether the item failed.
+        selected = [
+            line for line in lines if line.startswith(b'{"error":null') != failed
+        ]
+        yield Ok(b"".join(selected))
 
 
 async def read_session_states(
     platform: Platform, session_ids: set[str]
 ) -> Result[dict[str, str], ReadError]:
     """Return the state of each session by id; one without a row counts as lapsed."""
-    wanted = sorted(session_ids)
-    found = await platform.read([keys.session(session_id) for session_id in wanted])
+    ordered = sorted(session_ids)
+    found = await platform.read([keys.session(session_id) for session_id in ordered])
     if isinstance(found, Err):
         return found
     states_by_id: dict[str, str] = {}
-    for session_id in wanted:
+    for session_id in ordered:
         row = found.ok_value.get(keys.session(session_id))
         states_by_id[session_id] = row.value["state"] if row else LAPSED
     return Ok(states_by_id)
--- a/src/caperridge/queries/orders.py
+++ b/src/caperridge/queries/orders.py
@@ -1,4 +1,4 @@
-"""Reading who orders a target, and which loads are under way."""
+"""Reads of the order lease of a target, and of the running loads of a weight store."""
 
 from result import Err, Ok, Result
 
@@ -23,7 +23,7 @@
 
 
 async def read_order(platform: Platform, target: str) -> Result[OrderSeen, ReadError]:
-    """Return who orders ``target``."""
+    """Return the order lease of ``target`` and its holder's session."""
     key = keys.order(target)
     found = await platform.read([key])
     if isinstance(found, Err):
@@ -48,7 +48,7 @@
 async def read_loads(
     platform: Platform, store: str
 ) -> Result[tuple[Row | None, list[Load]], ReadError]:
-    """Return the loads under way at a weight store, with their row."""
+    """Return the running loads of a weight store, with their row."""
     key = keys.loading(store)
     found = await platform.read([key])
     if isinstance(found, Err):
--- a/src/caperridge/queries/plain_calls.py
+++ b/src/caperridge/queries/plain_calls.py
@@ -1,4 +1,4 @@
-"""Reading the claims of keyed calls."""
+"""Reads of the claims of keyed calls."""
 
 from result import Err, Ok, Result
 
@@ -11,7 +11,7 @@
 async def is_holder_alive(
     platform: Platform, claim: CallClaim
 ) -> Result[bool, ReadError]:
-    """Return whether the session that may send the call still lasts."""
+    """Return whether the session that may send the call is alive."""
     key = keys.session(claim.session)
     found = await platform.read([key])
     if isinstance(found, Err):
--- a/src/caperridge/queries/rows.py
+++ b/src/caperridge/queries/rows.py
@@ -1,4 +1,4 @@
-"""Reading rows of the table: one as a record, or all with a prefix."""
+"""Reads of rows of the table: one as a record, or all with a prefix."""
 
 from typing import TypeVar
 
--- a/src/caperridge/queries/started_items.py
+++ b/src/caperridge/queries/started_items.py
@@ -1,4 +1,4 @@
-"""Reading which items of a job were started."""
+"""Read of the items of a job that were started."""
 
 from result import Err, Ok, Result
 
@@ -10,20 +10,21 @@
 async def read_started_indexes(
     platform: Platform, job: str, lane: int
 ) -> Result[set[int], ReadError]:
-    """Return the items of a lane that some holder may have sent.
+    """Return the items of a lane that any holder may have sent.
 
-    Complete only for chunks that the reader holds: their claim is what keeps all
-    earlier holders from starting more.
+    Complete only for chunks that the caller holds: only its claim prevents earlier
+    holders from starting more items.
 
     Args:
-        platform: where the rows are.
+        platform: where the rows are stored.
         job: id of the job.
-        lane: its first item; a chunk that was split has rows from before.
+        lane: first item of the lane; all of it is read, because a chunk that was split
+            has rows from before the split.
     """
     rows = await scan_all(platform, keys.started_lane(job, lane))
     if isinstance(rows, Err):
         return rows
-    found: set[int] = set()
+    indexes: set[int] = set()
     for row in rows.ok_value:
-        found.update(row.value["indexes"])
-    return Ok(found)
+        indexes.update(row.value["indexes"])
+    return Ok(indexes)
