--- a/tests/batch/batch_world.py
+++ b/tests/batch/batch_world.py
@@ -1,4 +1,4 @@
-"""Several instances' batch logic on one fake table, with a clock moved by hand."""
+"""Simulation of the batch logic of several instances, with a fake table and clock."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -24,11 +24,11 @@
 from caperridge.store.interface import Conflict, NotDone, PutRow, Unknown
 
 LEASE_S = 10.0
-KILLER = 3
+CRASHING_ITEM = 3
 
 
 class LossyPlatform(MemoryPlatform):
-    """Loses the answers of as many writes as it is told."""
+    """Loses the answers of the next ``lose_next`` writes that take effect."""
 
     lose_next = 0
 
@@ -40,8 +40,8 @@
         return outcome
 
 
-class Held:
-    """A chunk that an instance believes it holds, and the items it has done."""
+class HeldChunk:
+    """A chunk that an instance believes to hold, and the items that it finished."""
 
     def __init__(self, chunk: Chunk, state: ChunkState, session: str) -> None:
         self.chunk = chunk
@@ -51,21 +51,21 @@
 
 
 class Node:
-    """One instance: what it holds in memory is lost with it."""
+    """One instance; its state in memory is lost when it crashes."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.session = ""
         self.lease = Lease(LEASE_S)
         self.watch = SessionWatch()
-        self.held_by_key: dict[str, Held] = {}
+        self.held_by_key: dict[str, HeldChunk] = {}
         self.planned: list[Any] = []
         self.paused = False
         self.renewals = 0
 
 
 class World:
-    """The table, the instances, and the oracle that counts effects."""
+    """The table, the instances, and the oracle of accepted jobs and results."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -86,7 +86,7 @@
         self._loop.close()
 
     def do(self, call: Coroutine[Any, Any, Result[Any, Any]]) -> Result[Any, Any]:
-        """Run a call; an answer that says "not done" must be true."""
+        """Run a call; an outcome of "not done" or a conflict must not change a row."""
         before = dict(self.platform.rows_by_key)
         outcome = self._loop.run_until_complete(call)
         if isinstance(outcome, Err) and isinstance(
@@ -130,15 +130,15 @@
                 alive[name] = (row.version, row.value["lease_s"])
         for name, version in node.watch.observe(alive, self.now, self.now).items():
             for other in self.nodes:
-                # Nobody who still believes in its lease may be declared lapsed.
+                # A holder that still relies on its lease may not be declared lapsed.
                 if other.session == name:
                     assert other.lease.remaining_s(self.now) <= 0
             self.do(sessions.lapse_session(self.platform, name, version))
 
     def claim(self, node: Node, size: int, stale: bool = False) -> bool:
-        """Claim what the planner says; return whether anything changed.
+        """Claim what the planner chooses; return whether there was something to do.
 
-        A stale claim is only planned now, and made with :meth:`claim_planned`.
+        A stale claim is only planned now and carried out by :meth:`claim_planned`.
         """
         if node.paused or node.lease.remaining_s(self.now) <= 0:
             return False
@@ -159,11 +159,11 @@
             if isinstance(states, Err):
                 return False
 
-            def abandoned(seen: ChunkRow, start: int) -> bool | None:
-                session = seen.state.session
+            def abandoned(row: ChunkRow, start: int) -> bool | None:
+                session = row.state.session
                 if session == node.session:
-                    mine = keys.chunk(job.id, start) in node.held_by_key  # noqa: B023
-                    return None if mine else False
+                    held = keys.chunk(job.id, start) in node.held_by_key  # noqa: B023
+                    return None if held else False
                 state = states.ok_value[session]  # noqa: B023
                 return None if state == sessions.ALIVE else state == sessions.LAPSED
 
@@ -183,25 +183,25 @@
             return False
         for action in actions:
             if not isinstance(action, Split):
-                self._take(node, action)
+                self._hold(node, action)
         return True
 
-    def _take(self, node: Node, action: Any) -> None:
+    def _hold(self, node: Node, action: Any) -> None:
         state = chunk_claims.claimed_state(action, node.session)
         key = keys.chunk(action.chunk.job, action.chunk.start)
         assert state.attempts > self.attempts_by_key.get(key, 0), "attempts forgotten"
         self.attempts_by_key[key] = state.attempts
-        node.held_by_key[key] = Held(action.chunk, state, node.session)
+        node.held_by_key[key] = HeldChunk(action.chunk, state, node.session)
 
-    def run(self, node: Node, held: Held) -> bool:
-        """Run the next item; False if the instance did not survive it."""
+    def run(self, node: Node, held: HeldChunk) -> bool:
+        """Run the next item; False if it crashed the instance."""
         if must_fail(held.chunk, held.state.deaths):
             held.done.add(held.chunk.start)
             return True
         for index in range(held.chunk.start, held.chunk.end):
             if index in held.done:
                 continue
-            if index == KILLER and held.chunk.job in self.killer_jobs:
+            if index == CRASHING_ITEM and held.chunk.job in self.killer_jobs:
                 kills = self.kills_by_job.get(held.chunk.job, 0) + 1
                 self.kills_by_job[held.chunk.job] = kills
                 self.kill(node)
@@ -210,8 +210,8 @@
             return True
         return True
 
-    def commit(self, node: Node, held: Held) -> None:
-        """Commit without looking at the own lease: the table must refuse it."""
+    def commit(self, node: Node, held: HeldChunk) -> None:
+        """Commit without checking the own lease: the table must refuse late commits."""
         name = f"{held.session}-{held.state.attempts}-{held.chunk.start}"
         done = held.state.replace(
             state=DONE, result=name, completed=held.chunk.items, failed=0
@@ -234,11 +234,11 @@
             node.held_by_key.pop(finished.key, None)
 
     def kill(self, node: Node) -> None:
-        """Lose the instance; another takes its place, under a new session."""
+        """Crash the instance; another replaces it under a new session."""
         self.nodes[self.nodes.index(node)] = Node(node.name)
 
     def done_items(self, job_id: str) -> dict[int, str]:
-        """Return the result object of each committed item; none may have two."""
+        """Return the result object of each committed item; no item may have two."""
         results: dict[int, str] = {}
         for key, row in self.platform.rows_by_key.items():
             if not key.startswith(keys.chunks(job_id)) or row.value["state"] != DONE:
@@ -249,7 +249,7 @@
         return results
 
     def check(self) -> None:
-        """What must hold at every moment."""
+        """Check what must hold at any time."""
         for job_id in self.accepted_by_id:
             done = self.done_items(job_id)
             for index, result in done.items():
--- a/tests/batch/reads_world.py
+++ b/tests/batch/reads_world.py
@@ -1,4 +1,4 @@
-"""Four instances of a zone that share the reading of jobs, with a hand-moved clock."""
+"""Simulation of four instances of a zone that share reads of jobs, on a fake clock."""
 
 import asyncio
 import copy
@@ -25,7 +25,14 @@
 
 
 class View(NoPeers):
-    """One instance's membership, peers and platform, each of which may be wrong."""
+    """One instance's membership, peers and platform, each of which can be faulty.
+
+    Attributes:
+        reader: number of the instance that it takes for the reader.
+        cut: whether its calls of the platform fail.
+        frozen: an old copy of the table that it reads; None for the current one.
+        reads: number of calls of the platform by name.
+    """
 
     availability_zone = "z"
 
@@ -57,7 +64,7 @@
         return 1
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        """Be the platform: cut off, frozen at a moment, or as it is."""
+        """Return a call of the platform: cut off, of an old copy, or current."""
         if name not in ("read", "scan", "transact"):
             raise AttributeError(name)
         source = self.frozen or self._world.platform
@@ -72,13 +79,13 @@
 
 
 class Node:
-    """One instance: what it was told is open."""
+    """One instance, and the open jobs that its reader reported."""
 
     def __init__(self, world: "ReadsWorld", number: int) -> None:
         self.view = View(world, number)
         self.inbox: list[Record] = []
         self.paused = False
-        self.well_since = 0.0
+        self.healthy_since = 0.0
         self.open_ids: set[str] = set()
         self.lapses = 0
         clock = lambda: world.now  # noqa: E731
@@ -86,7 +93,7 @@
         self.reader = JobsReader(view, view, clock, self.take, view)
 
     @property
-    def well(self) -> bool:
+    def healthy(self) -> bool:
         return not (self.paused or self.view.cut or self.view.frozen)
 
     def take(self, message: Record) -> bool:
@@ -103,7 +110,7 @@
 
 
 class ReadsWorld:
-    """The table and the instances, and the oracle: when each job opened or ended."""
+    """The table and the instances, and the oracle: when each job changed."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -119,7 +126,7 @@
         self._loop.close()
 
     def put(self, name: str, state: str, announced: bool = True) -> None:
-        """Open or end a job, and announce it if it could be."""
+        """Open or end a job, and announce the change if ``announced``."""
         self._loop.run_until_complete(self._put(name, state, announced))
         self.changed_at_by_job[name] = self.now
         if state == OPEN:
@@ -144,7 +151,7 @@
         self._loop.run_until_complete(call)
 
     def freeze(self, node: Node) -> None:
-        """Have an instance read the table as it is now, from now on."""
+        """Let an instance read a copy of the current table from now on."""
         frozen = MemoryPlatform(lambda: self.now)
         for name, value in vars(self.platform).items():
             if name.endswith("_by_key"):
@@ -152,13 +159,13 @@
         node.view.frozen = frozen
 
     def heal(self, node: Node) -> None:
-        """End what is wrong with an instance."""
+        """Remove the faults of an instance."""
         node.paused = node.view.cut = False
         node.view.frozen = None
-        node.well_since = self.now
+        node.healthy_since = self.now
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, and every instance do what it would."""
+        """Advance the clock, and run every instance at each tick."""
         self._loop.run_until_complete(self._advance(math.ceil(seconds / TICK_S)))
 
     async def _advance(self, ticks: int) -> None:
@@ -173,12 +180,12 @@
                 await node.reader.idle()
 
     def check(self, bound_s: float) -> None:
-        """What changed longer ago than ``bound_s`` is known to all that are well."""
+        """Check that healthy instances know each change older than ``bound_s``."""
         for node in self.nodes:
-            if not node.well:
+            if not node.healthy:
                 continue
             for name, at in self.changed_at_by_job.items():
-                if self.now - max(at, node.well_since) < bound_s:
+                if self.now - max(at, node.healthy_since) < bound_s:
                     continue
                 known = name in node.open_ids
                 assert known == (name in self.open_ids), (node.view.instance, name)
--- a/tests/batch/test_batch_decisions.py
+++ b/tests/batch/test_batch_decisions.py
@@ -1,4 +1,4 @@
-"""Leases, order and item failures: the cases one by one."""
+"""Unit tests of leases, the order of jobs and retries of items."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    ("looks", "lapsed"),
+    ("reads", "lapsed"),
     [
         pytest.param([(0, 1), (4, 1), (8, 1), (12, 1)], True, id="stands still"),
         pytest.param([(0, 1), (4, 1), (8, 1), (11, 1)], False, id="not long enough"),
@@ -42,13 +42,13 @@
     ],
 )
 def test_an_observer_counts_only_what_it_could_read(
-    looks: list[tuple[float, int]], lapsed: bool
+    reads: list[tuple[float, int]], lapsed: bool
 ) -> None:
     watch = SessionWatch()
-    found: dict[str, int] = {}
-    for at, version in looks:
-        found = watch.observe({"s": (version, 10.0)}, at, at)
-    assert bool(found) == lapsed
+    lapsed_versions: dict[str, int] = {}
+    for at, version in reads:
+        lapsed_versions = watch.observe({"s": (version, 10.0)}, at, at)
+    assert bool(lapsed_versions) == lapsed
 
 
 @pytest.mark.parametrize(
--- a/tests/batch/test_batch_machine.py
+++ b/tests/batch/test_batch_machine.py
@@ -1,4 +1,8 @@
-"""Any order of claims, pauses, deaths, lost answers and outages against an oracle."""
+"""State machine of claims, pauses, crashes, lost answers and outages, with an oracle.
+
+It guards against items that are lost or committed twice, results that change, and jobs
+that never end.
+"""
 
 import pytest
 from batch_world import LEASE_S, World
@@ -20,7 +24,7 @@
 from caperridge.store.interface import Conflict
 
 NODES = st.integers(0, 2)
-MOST_KILLS = 12
+MAX_KILLS = 12
 
 
 class BatchMachine(RuleBasedStateMachine):
@@ -30,7 +34,7 @@
         self.jobs_by_key: dict[str, Job] = {}
 
     def teardown(self) -> None:
-        self.everything_ends_well()
+        self.check_jobs_end()
         self.world.check()
         self.world.close()
 
@@ -93,7 +97,7 @@
 
     @rule(node=NODES, size=st.integers(1, 5))
     def claim_and_finish(self, node: int, size: int) -> None:
-        """Come to where only the commit is missing."""
+        """Claim chunks and run their items, up to the commit."""
         self.world.claim(self.world.nodes[node], size)
         for held in list(self.world.nodes[node].held_by_key.values()):
             while len(held.done) < held.chunk.items:
@@ -160,8 +164,8 @@
         self.accept("b", "x", 4, False)
         self.world.platform.faults.outage = False
 
-    def everything_ends_well(self) -> None:
-        """Without further faults every open job completes in bounded time."""
+    def check_jobs_end(self) -> None:
+        """Check that without further faults every open job ends in bounded time."""
         world = self.world
         world.platform.lose_next = 0
         for node in world.nodes:
@@ -179,7 +183,7 @@
             assert self._ended(job_id), "a job never ends"
             if job_id not in world.cancelled_done_by_id:
                 assert len(world.done_items(job_id)) == job.items
-            assert world.kills_by_job.get(job_id, 0) <= MOST_KILLS
+            assert world.kills_by_job.get(job_id, 0) <= MAX_KILLS
 
     def _ended(self, job_id: str) -> bool:
         row = self.world.platform.rows_by_key[f"job/{job_id}"]
--- a/tests/batch/test_job_reads.py
+++ b/tests/batch/test_job_reads.py
@@ -1,4 +1,4 @@
-"""Sharing the reading of jobs in a zone: who reads, and how late anybody may be."""
+"""Shared reads of jobs in a zone: which instance reads, and bounds of staleness."""
 
 import random
 from collections.abc import Iterator
@@ -25,11 +25,15 @@
 from caperridge.decisions.jobs import COMPLETED, OPEN
 from caperridge.instance import jobs_reader
 
-MOST = 1 + JITTER_RATIO
-HEALTHY_S = POLL_INTERVAL_S * MOST + 2 * TICK_S
-SILENT_S = READER_TIMEOUT_S + POLL_INTERVAL_S * MOST + 3 * TICK_S
-WRONG_S = FALLBACK_POLL_INTERVAL_S * MOST + MAX_CATCH_UP_DELAY_S + 2 * TICK_S
-UNTOLD_S = SCAN_INTERVAL_S * MOST + MAX_CATCH_UP_DELAY_S + HEALTHY_S + 2 * TICK_S
+MAX_JITTER = 1 + JITTER_RATIO
+HEALTHY_BOUND_S = POLL_INTERVAL_S * MAX_JITTER + 2 * TICK_S
+SILENT_READER_BOUND_S = READER_TIMEOUT_S + POLL_INTERVAL_S * MAX_JITTER + 3 * TICK_S
+STALE_READER_BOUND_S = (
+    FALLBACK_POLL_INTERVAL_S * MAX_JITTER + MAX_CATCH_UP_DELAY_S + 2 * TICK_S
+)
+UNANNOUNCED_BOUND_S = (
+    SCAN_INTERVAL_S * MAX_JITTER + MAX_CATCH_UP_DELAY_S + HEALTHY_BOUND_S + 2 * TICK_S
+)
 NODES = st.integers(0, COUNT - 1)
 
 
@@ -53,7 +57,7 @@
     world.cut_pairs.update(frozenset((0, other)) for other in range(1, COUNT))
 
 
-def nobody(world: ReadsWorld) -> None:
+def no_reader(world: ReadsWorld) -> None:
     for node in world.nodes:
         node.view.reader = COUNT
 
@@ -69,13 +73,13 @@
 @pytest.mark.parametrize(
     ("fault", "bound_s"),
     [
-        (lambda _: None, HEALTHY_S),
-        (pause, SILENT_S),
-        (cut_from_platform, SILENT_S),
-        (cut_from_peers, SILENT_S),
-        (nobody, SILENT_S),
-        (second_reader, HEALTHY_S),
-        (freeze, WRONG_S),
+        (lambda _: None, HEALTHY_BOUND_S),
+        (pause, SILENT_READER_BOUND_S),
+        (cut_from_platform, SILENT_READER_BOUND_S),
+        (cut_from_peers, SILENT_READER_BOUND_S),
+        (no_reader, SILENT_READER_BOUND_S),
+        (second_reader, HEALTHY_BOUND_S),
+        (freeze, STALE_READER_BOUND_S),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
@@ -83,7 +87,7 @@
     world: ReadsWorld, fault, bound_s: float
 ) -> None:
     world.put("old", OPEN)
-    world.advance(SILENT_S)
+    world.advance(SILENT_READER_BOUND_S)
     fault(world)
     world.put("new", OPEN)
     world.cancel("old")
@@ -93,9 +97,9 @@
 
 def test_only_the_reader_reads_often(world: ReadsWorld) -> None:
     for node in world.nodes:
-        # The last in turn, so that the others hear of a change before its news.
+        # The last one to run, so that the others get a hint before the update.
         node.view.reader = COUNT - 1
-    world.advance(HEALTHY_S)
+    world.advance(HEALTHY_BOUND_S)
     for node in world.nodes:
         node.view.reads.clear()
     for number in range(10):
@@ -119,12 +123,12 @@
     world: ReadsWorld,
 ) -> None:
     world.put("kept", OPEN)
-    world.advance(HEALTHY_S)
+    world.advance(HEALTHY_BOUND_S)
     world.cancel("kept", announced=False)
     world.put("untold", OPEN, announced=False)
-    world.advance(UNTOLD_S)
-    world.check(UNTOLD_S)
-    assert UNTOLD_S < FALLBACK_SCAN_INTERVAL_S / 4
+    world.advance(UNANNOUNCED_BOUND_S)
+    world.check(UNANNOUNCED_BOUND_S)
+    assert UNANNOUNCED_BOUND_S < FALLBACK_SCAN_INTERVAL_S / 4
 
 
 def test_a_wrong_reader_hides_what_was_not_announced_for_one_own_scan(
@@ -132,7 +136,7 @@
 ) -> None:
     freeze(world)
     world.put("untold", OPEN, announced=False)
-    bound_s = FALLBACK_SCAN_INTERVAL_S * MOST + WRONG_S
+    bound_s = FALLBACK_SCAN_INTERVAL_S * MAX_JITTER + STALE_READER_BOUND_S
     world.advance(bound_s)
     world.check(bound_s)
 
@@ -143,12 +147,12 @@
     world.nodes[1].paused = True
     for number in range(MAX_CHANGES + 5):
         world.put(f"j{number}", OPEN)
-    world.advance(HEALTHY_S)
-    world.check(HEALTHY_S)
+    world.advance(HEALTHY_BOUND_S)
+    world.check(HEALTHY_BOUND_S)
     world.heal(world.nodes[1])
     world.nodes[1].inbox.clear()
-    world.advance(SILENT_S)
-    world.check(SILENT_S)
+    world.advance(SILENT_READER_BOUND_S)
+    world.check(SILENT_READER_BOUND_S)
 
 
 def test_a_hint_without_news_is_followed_by_an_own_read(world: ReadsWorld) -> None:
@@ -166,9 +170,9 @@
     freeze(world)
     world.put("first", OPEN)
     world.nodes[1].reader.poll_soon()
-    world.advance(SILENT_S)
+    world.advance(SILENT_READER_BOUND_S)
     world.put("second", OPEN)
-    world.advance(HEALTHY_S)
+    world.advance(HEALTHY_BOUND_S)
     assert world.nodes[1].open_ids == {"first", "second"}
 
 
@@ -177,15 +181,15 @@
 ) -> None:
     monkeypatch.setattr(jobs_reader, "MOST_SHARED_BYTES", 0)
     world.put("j", OPEN)
-    world.advance(HEALTHY_S + MAX_CATCH_UP_DELAY_S)
-    world.check(HEALTHY_S + MAX_CATCH_UP_DELAY_S)
+    world.advance(HEALTHY_BOUND_S + MAX_CATCH_UP_DELAY_S)
+    world.check(HEALTHY_BOUND_S + MAX_CATCH_UP_DELAY_S)
 
 
 def test_later_news_does_not_put_off_reading_what_did_not_fit(
     world: ReadsWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world.put("old", OPEN)
-    world.advance(HEALTHY_S)
+    world.advance(HEALTHY_BOUND_S)
     monkeypatch.setattr(jobs_reader, "MOST_SHARED_BYTES", 0)
     for name, state in (("new", OPEN), ("old", COMPLETED)):
         world.put(name, state)
@@ -196,7 +200,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "heard", "fresh"),
+    ("update", "kind", "new_changes"),
     [
         (Changes(5, 5, []), UpdateKind.SAME, []),
         (
@@ -213,12 +217,12 @@
     ],
 )
 def test_news_is_weighed_by_its_numbers(
-    told: Changes, heard: UpdateKind, fresh: list[list[str]]
+    update: Changes, kind: UpdateKind, new_changes: list[list[str]]
 ) -> None:
-    reads = JobReadSchedule(random.Random(1))
-    reads.record_poll(5)
-    assert reads.receive(0.0, told) == (heard, fresh)
-    assert reads.number == (told.number if heard is UpdateKind.NEW else 5)
+    schedule = JobReadSchedule(random.Random(1))
+    schedule.record_poll(5)
+    assert schedule.receive(0.0, update) == (kind, new_changes)
+    assert schedule.number == (update.number if kind is UpdateKind.NEW else 5)
 
 
 @pytest.mark.parametrize("number", [0, 1])
@@ -235,21 +239,21 @@
     )
     world.put("j", OPEN, announced=False)
     world.heal(node)
-    world.advance(HEALTHY_S)
+    world.advance(HEALTHY_BOUND_S)
     assert "j" in node.open_ids
 
 
 def test_lapses_are_passed_on(world: ReadsWorld) -> None:
     before = [node.lapses for node in world.nodes]
     world.announce_lapse("i9-x")
-    world.advance(HEALTHY_S)
+    world.advance(HEALTHY_BOUND_S)
     assert all(
         node.lapses > count for node, count in zip(world.nodes, before, strict=True)
     )
 
 
 class ReadsMachine(RuleBasedStateMachine):
-    """Cuts, pauses, wrong views and frozen readers, in any order."""
+    """Cuts, pauses, different views of the reader and stale reads, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -304,7 +308,7 @@
 
     @invariant()
     def known_in_time(self) -> None:
-        self.world.check(WRONG_S)
+        self.world.check(STALE_READER_BOUND_S)
 
 
 ReadsMachine.TestCase.settings = settings(
--- a/tests/configuration/conftest.py
+++ b/tests/configuration/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the configuration's tests."""
+"""Fixtures of the configuration tests."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def world() -> World:
-    """Two zones of two instances each."""
+    """Return a world with two availability zones of two instances each."""
     world = World()
     for zone in ("oviedo", "oviedo", "bilbao", "bilbao"):
         world.start(zone)
--- a/tests/configuration/test_configuration_machine.py
+++ b/tests/configuration/test_configuration_machine.py
@@ -1,4 +1,8 @@
-"""A state machine over the configuration, against an oracle of what was confirmed."""
+"""State machine of configuration replication, with an oracle of confirmed versions.
+
+It guards against versions that go down, differ between instances, are lost, or are in
+force without having been confirmed, while instances are cut off, paused or replaced.
+"""
 
 import asyncio
 from typing import Any
@@ -20,14 +24,14 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Instances are cut, paused and replaced while operators confirm."""
+    """Cuts, pauses and replaces instances while operators confirm plans."""
 
     def __init__(self) -> None:
         super().__init__()
         self.runner = asyncio.Runner()
         self.world = World()
         self.confirmed: dict[int, Configuration] = {}
-        self.doubtful: list[tuple[Configuration, str]] = []
+        self.unknown_outcomes: list[tuple[Configuration, str]] = []
         self.versions_by_name: dict[str, int] = {}
         self.number = 0
         for zone in ZONES * 2:
@@ -43,14 +47,14 @@
         members = list(self.world.members_by_name.values())
         return members[pick % len(members)]
 
-    def note(self, wanted: Configuration, digest: str, outcome: Any) -> None:
+    def record(self, wanted: Configuration, digest: str, outcome: Any) -> None:
         if isinstance(outcome, Ok):
             version = outcome.ok_value.version
             content = wanted.replace(version=version)
             assert self.confirmed.setdefault(version, content) == content
             return
         if isinstance(outcome.err_value, Unknown):
-            self.doubtful.append((wanted, digest))
+            self.unknown_outcomes.append((wanted, digest))
 
     @rule(pick=PICK, lost=st.booleans())
     def confirm(self, pick: int, lost: bool) -> None:
@@ -59,7 +63,9 @@
         wanted = with_callers("a", share=float(self.number))
         digest = make_plan(member.keeper.current, wanted).digest
         member.platform.loses = {"transact"} if lost else set()
-        self.note(wanted, digest, self.run(self.world.confirm(member, wanted, digest)))
+        self.record(
+            wanted, digest, self.run(self.world.confirm(member, wanted, digest))
+        )
         member.platform.loses = set()
 
     @rule(pick=PICK, other=PICK)
@@ -73,19 +79,19 @@
             wanted = with_callers("a", share=share + self.number)
             digest = make_plan(base, wanted).digest
             outcome = self.run(self.world.confirm(member, wanted, digest))
-            self.note(wanted, digest, outcome)
+            self.record(wanted, digest, outcome)
             outcomes.append(outcome)
         self.number += 1
         assert sum(isinstance(outcome, Ok) for outcome in outcomes) <= 1
 
-    @precondition(lambda self: self.doubtful)
+    @precondition(lambda self: self.unknown_outcomes)
     @rule(pick=PICK)
     def ask_again(self, pick: int) -> None:
-        wanted, digest = self.doubtful[0]
+        wanted, digest = self.unknown_outcomes[0]
         outcome = self.run(self.world.confirm(self.pick(pick), wanted, digest))
         if isinstance(outcome, Ok) or isinstance(outcome.err_value, HeadMoved):
-            self.doubtful.pop(0)
-            self.note(wanted, digest, outcome)
+            self.unknown_outcomes.pop(0)
+            self.record(wanted, digest, outcome)
 
     @rule(zone=st.sampled_from(ZONES), peers=st.booleans(), platform=st.booleans())
     def cut(self, zone: str, peers: bool, platform: bool) -> None:
@@ -123,7 +129,7 @@
         self.run(self.world.run(14))
         newest = max(self.confirmed, default=0)
         versions = {m.version for m in self.world.members_by_name.values()}
-        # A version whose answer was lost may be in force as well.
+        # A version whose confirmation was lost may be in force too.
         assert len(versions) == 1
         assert versions.pop() >= newest
         assert all(m.keeper.known for m in self.world.members_by_name.values())
--- a/tests/configuration/test_intents_http.py
+++ b/tests/configuration/test_intents_http.py
@@ -1,4 +1,4 @@
-"""The contract of the intent interface, over HTTP at one instance."""
+"""Tests of the HTTP interface for intents, at one instance."""
 
 from typing import Any
 
--- a/tests/configuration/test_operators_cli.py
+++ b/tests/configuration/test_operators_cli.py
@@ -1,4 +1,4 @@
-"""The operators' commands against one instance."""
+"""Tests of the operators' commands against one instance."""
 
 import asyncio
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 async def run(fleet: Fleet, *arguments: Any) -> Result:
-    """Run a command in a thread, since it has a loop of its own."""
+    """Run a command in a thread, since it runs its own event loop."""
     environment = {
         "CAPERRIDGE_OPERATORS": fleet.operators_url,
         "CAPERRIDGE_TOKEN": OPERATOR,
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def directory(tmp_path: Path) -> Path:
-    """Declarations that differ a little from what is in force."""
+    """Return a directory with a declaration that renames one caller or service."""
     (tmp_path / "all.toml").write_text(DECLARATION.replace("lookup", "search"))
     return tmp_path
 
--- a/tests/configuration/test_order.py
+++ b/tests/configuration/test_order.py
@@ -1,4 +1,4 @@
-"""Deltas, gaps and the log: what makes a version come into force, and only upward."""
+"""Tests of deltas, gaps and the version log; versions only apply in ascending order."""
 
 import pytest
 from result import Err, Ok
@@ -315,7 +315,7 @@
 
 
 async def test_an_old_release_that_confirms_leaves_one_content(world: World) -> None:
-    """What only a newer release knows goes everywhere, not at some instances."""
+    """Fields that only a newer release knows are lost at all instances, not at some."""
     await world.run(1)
     one, other = list(world.members_by_name.values())[:2]
     await world.confirm(one, with_callers("a"))
@@ -323,7 +323,7 @@
     newer = row.value | {"format": FORMAT + 1}
     world.memory.rows_by_key[row.key] = row.replace(value=newer)
     await world.run(1)
-    # What only the newer release has, at its own instance.
+    # Content that only the newer release knows, at its own instance.
     other.keeper._order.current = with_callers("a", "newer").replace(version=1)
     outcome = await world.confirm(one, with_callers("a", "b"))
     assert outcome.unwrap().delta is None
--- a/tests/configuration/world.py
+++ b/tests/configuration/world.py
@@ -1,4 +1,4 @@
-"""Configuration keepers before one platform, with cuts and a hand-moved clock."""
+"""Simulation of configuration keepers on one platform, with faults and a fake clock."""
 
 from collections import deque
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 def with_callers(*names: str, share: float = 1.0) -> Configuration:
-    """A configuration with these callers."""
+    """Return a configuration with these callers."""
     callers = {n: Caller(n, TOKEN[: -len(n)] + n, share=share) for n in names}
     return Configuration(callers_by_name=callers)
 
@@ -39,9 +39,9 @@
     """The platform as one instance sees it.
 
     Attributes:
-        cut: no call arrives.
-        stale_rows: what every read sees, instead of the rows as they are.
-        loses: names of calls that take effect and answer unknown.
+        cut: whether every call fails.
+        stale_rows: rows that every read returns instead of the current ones.
+        loses: names of calls that take effect and whose answer is lost.
     """
 
     def __init__(self, memory: MemoryPlatform) -> None:
@@ -64,7 +64,7 @@
 
 
 class Member:
-    """One instance of the world."""
+    """One instance with its configuration keeper."""
 
     def __init__(self, world: "World", name: str, zone: str) -> None:
         self.name = name
@@ -87,7 +87,7 @@
         return self.keeper.current.version
 
     async def run(self) -> None:
-        """Handle what came, then poll if that is due."""
+        """Handle the received messages, then poll if a poll is due."""
         while self.inbox:
             await self.keeper.handle(self.inbox.popleft())
         await self.keeper.idle()
@@ -98,7 +98,7 @@
 
 
 class Bus(NoPeers):
-    """Delivers between members that are not cut off from each other."""
+    """Delivers messages between members that are not cut off from each other."""
 
     def __init__(self, world: "World", own: Member) -> None:
         self._world = world
@@ -126,19 +126,19 @@
 
     def _send_to(self, message: Record, zone: str | None) -> int:
         others = [m for m in self._world.members_by_name.values() if m is not self._own]
-        wanted = [m for m in others if zone is None or m.zone == zone]
-        return sum(self.send(member.name, message) for member in wanted)
+        receivers = [m for m in others if zone is None or m.zone == zone]
+        return sum(self.send(member.name, message) for member in receivers)
 
 
 class World:
-    """Some instances, the platform, and the clock."""
+    """The instances, the platform and the clock."""
 
     def __init__(self) -> None:
         self.now = 100.0
         self.memory = MemoryPlatform(self.clock)
         self.members_by_name: dict[str, Member] = {}
         self.cut_zones: set[str] = set()
-        self.links: set[frozenset[str]] | None = None  # between zones; None for all
+        self.links: set[frozenset[str]] | None = None  # links of zones; None for all
         self.started = 0
 
     def clock(self) -> float:
@@ -180,7 +180,7 @@
     async def confirm(
         self, member: Member, wanted: Configuration, digest: str = ""
     ) -> Ok[Confirmed] | Err[ConfirmError]:
-        """Plan against what the member knows, unless there is a plan; confirm."""
+        """Confirm a plan; without a digest, plan against what the member knows."""
         current = member.keeper.current
         digest = digest or make_plan(current, wanted).digest
         intent = Intent(wanted, digest, "ana")
--- a/tests/orders/test_order_machine.py
+++ b/tests/orders/test_order_machine.py
@@ -1,4 +1,8 @@
-"""A state machine over orderers: one is obeyed, and the target ends as desired."""
+"""State machine of orderers with paused holders, late orders and ended sessions.
+
+It guards against a target that accepts an older fencing number, loses its last serving
+runner, or does not reach its desired state.
+"""
 
 import asyncio
 from typing import Any
@@ -19,7 +23,7 @@
 
 
 class OrderMachine(RuleBasedStateMachine):
-    """Orderers are paused, replaced and robbed of sessions while versions change."""
+    """Pauses and replaces orderers and ends their sessions while versions change."""
 
     checks = True
     empty = False
@@ -66,7 +70,7 @@
 
     @rule(pick=PICK, version=st.sampled_from("123"))
     def rob(self, pick: int, version: str) -> None:
-        """Another takes over at once, while the holder believes in its lease."""
+        """Let another instance take over while the holder still relies on its lease."""
         holder = self.pick(pick)
         holder.paused = True
         self.world.end_session(holder)
@@ -95,7 +99,7 @@
         self.world.memory.faults.outage = False
         for member in self.world.members_by_name.values():
             member.paused = member.alone = member.client.delays = False
-        # A lease to wait out, lost loads to give up, and two loads, one by one.
+        # Time for a lease to expire, lost loads to time out, and two loads in turn.
         self.run(self.world.run(300.0, step_s=1.0))
         service = self.world.wanted.services_by_name["chat"]
         for target in self.world.targets_by_id.values():
@@ -113,13 +117,13 @@
 
 
 class UncheckedMachine(OrderMachine):
-    """The same with targets that obey whoever speaks last."""
+    """The same with targets that accept every order, whatever its fencing number."""
 
     checks = False
 
 
 class EmptyMachine(OrderMachine):
-    """The same with targets that hold nothing yet."""
+    """The same with targets that have not loaded anything."""
 
     empty = True
 
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to targets: leases, pacing, the last runner, and what it costs the table."""
+"""Tests of orders to targets: leases, pacing, the last runner, and table writes."""
 
 import pytest
 from result import Err, Ok
@@ -167,7 +167,7 @@
 
 @pytest.fixture
 async def world() -> World:
-    """Two instances and three targets that hold what they should."""
+    """Return a world of two instances and three targets in their desired state."""
     world = World(targets=3)
     for _ in range(2):
         world.start()
@@ -180,12 +180,12 @@
         target.running = 1
     world.wanted = declared("2")
     await world.run(10.0)
-    assert world.fewest_serving == 3  # nothing is told while its streams run
+    assert world.min_serving == 3  # no target gets an order while its streams run
     for target in world.targets_by_id.values():
         target.running = 0
     await world.run(60.0)
     assert {t.loaded.version for t in world.targets_by_id.values()} == {"2"}
-    assert world.fewest_serving == 2
+    assert world.min_serving == 2
     assert sum(target.cut for target in world.targets_by_id.values()) == 0
 
 
@@ -221,7 +221,7 @@
         world.wanted = declared(version)
         await world.run(60.0)
     assert {t.loaded.version for t in world.targets_by_id.values()} == {"2"}
-    assert world.fewest_serving == 1
+    assert world.min_serving == 1
 
 
 async def test_nothing_is_written_while_nothing_changes(world: World) -> None:
@@ -237,19 +237,19 @@
 
 
 async def test_a_lost_orderer_is_replaced_under_a_higher_number(world: World) -> None:
-    lost, left = list(world.members_by_name.values())
+    removed, remaining = list(world.members_by_name.values())
     fences = {
         target: row.value["fence"]
         for target in world.targets_by_id
         if (row := world.memory.rows_by_key[f"order/{target}"])
     }
-    del world.members_by_name[lost.name]
+    del world.members_by_name[removed.name]
     await world.run(30.0)
     world.wanted = declared("2")
     await world.run(90.0)
     for target_id, target in world.targets_by_id.items():
         row = world.memory.rows_by_key[f"order/{target_id}"]
-        mine = row.value["holder"] == left.session.session_id
+        mine = row.value["holder"] == remaining.session.session_id
         assert mine
         assert row.value["fence"] >= fences[target_id]
         assert target.loaded.version == "2"
@@ -258,10 +258,10 @@
 async def test_without_the_platform_nothing_is_ordered(world: World) -> None:
     world.memory.faults.outage = True
     await world.run(15.0)
-    told = {t: len(target.orders) for t, target in world.targets_by_id.items()}
+    order_counts = {t: len(target.orders) for t, target in world.targets_by_id.items()}
     world.wanted = declared("2")
     await world.run(60.0)
-    assert {t: len(x.orders) for t, x in world.targets_by_id.items()} == told
+    assert {t: len(x.orders) for t, x in world.targets_by_id.items()} == order_counts
     world.memory.faults.outage = False
     await world.run(90.0)
     assert {t.loaded.version for t in world.targets_by_id.values()} == {"2"}
--- a/tests/orders/test_switch_under_load.py
+++ b/tests/orders/test_switch_under_load.py
@@ -1,4 +1,4 @@
-"""A version is switched under load, and no request is refused."""
+"""Tests that a switch of the version under load refuses no request."""
 
 import asyncio
 from typing import Any
@@ -15,8 +15,8 @@
 )
 
 
-async def ask_until(fleet: Fleet, stop: asyncio.Event) -> list[tuple[int, Any]]:
-    """Ask one question after the other; return the statuses, and why if not 200."""
+async def send_until(fleet: Fleet, stop: asyncio.Event) -> list[tuple[int, Any]]:
+    """Send requests one by one; return the statuses, with the answer if not 200."""
     answers: list[tuple[int, Any]] = []
     while not stop.is_set():
         status, answer = await fleet.post("/v1/chat/completions", CHAT)
@@ -29,7 +29,7 @@
     engines = list(fleet.engines_by_id.values())
     await until(lambda: all(engine.loader.loaded for engine in engines))
     stop = asyncio.Event()
-    callers = [asyncio.create_task(ask_until(fleet, stop)) for _ in range(6)]
+    callers = [asyncio.create_task(send_until(fleet, stop)) for _ in range(6)]
     await fleet.confirm(SWITCHED)
     await until(
         lambda: all(engine.loader.loaded["version"] == "2" for engine in engines), 60.0
--- a/tests/orders/world.py
+++ b/tests/orders/world.py
@@ -1,4 +1,4 @@
-"""Orderers before targets in memory, with pauses and late orders."""
+"""Simulation of orderers and targets in memory, with pauses and late orders."""
 
 import asyncio
 from typing import Any
@@ -28,7 +28,7 @@
 
 
 def declared(version: str = "1", checks: bool = True, batch: int = 0) -> Configuration:
-    """One service of one model, at a version."""
+    """Return a configuration with one service of one model, at a version."""
     service = Service(
         "chat",
         model="north",
@@ -47,7 +47,7 @@
 
 
 class Target:
-    """A runner that loads at the pace of the clock."""
+    """A runner whose loads take one second of the fake clock per GB."""
 
     def __init__(self, world: "World", checks: bool) -> None:
         self.world = world
@@ -60,7 +60,7 @@
         self.cut = 0
         self.orders: list[tuple[int, str]] = []
 
-    def obey(self, sender: str, fence: int, desired: Loaded, gb: float) -> bool:
+    def accept_order(self, sender: str, fence: int, desired: Loaded, gb: float) -> bool:
         if fence < self.fence and self.checks:
             return False
         self.observe()
@@ -86,7 +86,7 @@
 
 
 class Client(OrderClient):
-    """Reaches targets at once, unless its owner is paused in the middle of it."""
+    """Calls targets without latency; can delay orders until :meth:`World.arrive`."""
 
     def __init__(self, world: "World", name: str) -> None:
         super().__init__()
@@ -106,19 +106,19 @@
     async def order(
         self, address: str, fence: int, desired: Loaded, gb: float
     ) -> Result[None, TargetAway | OldFence]:
-        self._world.note_order(self._name, address, fence)
-        self._world.note_out(address, desired)
+        self._world.check_order(self._name, address, fence)
+        self._world.check_last_runner(address, desired)
         target = self._world.targets_by_id[address]
         if self.delays:
             self._world.late.append((target, self._name, fence, desired, gb))
             return Err(TargetAway("no answer in time"))
-        if target.obey(self._name, fence, desired, gb):
+        if target.accept_order(self._name, fence, desired, gb):
             return Ok(None)
         return Err(OldFence(target.fence))
 
 
 class Bus(NoPeers):
-    """Tells every member that is not paused."""
+    """Delivers messages to every member that is not paused."""
 
     def __init__(self, world: "World", name: str) -> None:
         self._world = world
@@ -137,7 +137,7 @@
     def __init__(self, world: "World", name: str) -> None:
         self.name = name
         self.paused = False
-        self.alone = False  # sees nobody else, and so takes every target for its own
+        self.alone = False  # sees no other instance, and so owns every target
         self.client = Client(world, name)
         self.session = SessionKeeper(world.memory, name, LEASE_S, world.clock)
         self.membership = Membership(name, ZONE)
@@ -164,7 +164,7 @@
 
 
 class YieldingPlatform(MemoryPlatform):
-    """Lets others run before each call, so that calls of several mix."""
+    """Yields to the loop before each call, so that calls of instances interleave."""
 
     async def _enter(self, *args: Any) -> NotDone | None:
         await asyncio.sleep(0)
@@ -172,7 +172,7 @@
 
 
 class World:
-    """Instances of one zone, their targets, the platform, and the clock."""
+    """Instances of one availability zone, their targets, the platform and the clock."""
 
     def __init__(
         self, targets: int = 2, checks: bool = True, empty: bool = False
@@ -190,7 +190,7 @@
         self.released: set[str] = set()
         self.wanted = declared(checks=checks)
         self.started = 0
-        self.fewest_serving = targets
+        self.min_serving = targets
 
     def clock(self) -> float:
         return self.now
@@ -214,7 +214,7 @@
         return listed
 
     async def spread(self) -> None:
-        """Let all that are not paused know the list and the configuration."""
+        """Give the list and the configuration to all members that are not paused."""
         for member in self.members_by_name.values():
             if member.paused:
                 continue
@@ -230,16 +230,16 @@
             running = [m for m in self.members_by_name.values() if not m.paused]
             await asyncio.gather(*(member.run(self.now) for member in running))
             serving = sum(target.serves for target in self.targets_by_id.values())
-            self.fewest_serving = min(self.fewest_serving, serving)
+            self.min_serving = min(self.min_serving, serving)
 
     def arrive(self) -> None:
-        """Let orders that were under way arrive."""
+        """Deliver the delayed orders."""
         for target, sender, fence, desired, gb in self.late:
-            target.obey(sender, fence, desired, gb)
+            target.accept_order(sender, fence, desired, gb)
         self.late.clear()
 
-    def note_order(self, sender: str, target: str, fence: int) -> None:
-        """Check an order at the moment it leaves."""
+    def check_order(self, sender: str, target: str, fence: int) -> None:
+        """Check that the sender of an order is the only one entitled to send it."""
         member = self.members_by_name[sender]
         assert member.session.left_s() > member.client.deadline_s
         session = f"{sender}:{member.session.session_id}"
@@ -254,8 +254,8 @@
         left_s = self.members_by_name[former].session.left_s()
         assert left_s <= 0, "the former holder may still order"
 
-    def note_out(self, target_id: str, desired: Loaded) -> None:
-        """Check that another runner serves when one is told to stop serving."""
+    def check_last_runner(self, target_id: str, desired: Loaded) -> None:
+        """Check that another runner serves when an order takes one out of service."""
         target = self.targets_by_id[target_id]
         stays = desired.version == target.loaded.version and desired.role != "batch"
         if stays or not target.serves or not self.checks:
@@ -264,7 +264,7 @@
         assert any(other.serves for other in others), "the last runner is taken away"
 
     def _released_by(self, former: str) -> set[str]:
-        """Return the targets that ``former`` does not count as its own any more."""
+        """Return the targets whose lease ``former`` no longer believes to hold."""
         orderer = self.members_by_name[former].orderer
         session = orderer._session.session_id
         return {
@@ -275,7 +275,7 @@
         }
 
     def end_session(self, member: Member) -> None:
-        """Somebody ends the session while its holder believes in it."""
+        """End a session while its holder still relies on it."""
         row = self.memory.rows_by_key.get(keys.session(member.session.session_id))
         if row is not None:
             value = row.value | {"state": "closed"}
--- a/tests/plain/test_keyed_machine.py
+++ b/tests/plain/test_keyed_machine.py
@@ -1,4 +1,8 @@
-"""Keyed calls against an oracle that counts runs, with faults at every write."""
+"""State machine of keyed calls, with an oracle that counts runs.
+
+It guards against a second run of a call under the same key, and against another answer
+than the recorded one, while writes fail, lose their answers or land late.
+"""
 
 from typing import Any
 from unittest.mock import patch
@@ -45,7 +49,7 @@
 
 
 def done(coroutine: Any) -> Any:
-    """Run a coroutine that waits for nothing but pauses of no length."""
+    """Run a coroutine that only awaits pauses of zero length."""
     with patch.object(settle, "PAUSE_S", 0):
         while True:
             try:
@@ -55,7 +59,7 @@
 
 
 class LatePlatform(ClaimFaults):
-    """Keeps dropped transactions, so that they can take effect late."""
+    """Stores dropped transactions, so that they can take effect late."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -70,7 +74,7 @@
 
 
 class KeyedCallMachine(RuleBasedStateMachine):
-    """Senders claim, run, record and die in any order; the oracle counts runs."""
+    """Claims, runs, records and ends sessions in any order; the oracle counts runs."""
 
     claimed = Bundle("claimed")
     ran = Bundle("ran")
@@ -83,7 +87,7 @@
         self.digests_by_request: dict[str, str] = {}
         self.answers_by_key: dict[str, bytes] = {}
         self.dead_sessions: set[str] = set()
-        self.given_up: list[Any] = []
+        self.unclaimed: list[Any] = []
         self.holders_by_key: dict[str, str] = {}
         self.session = ""
         self.lapse()
@@ -107,7 +111,7 @@
         if isinstance(outcome.err_value, Claimed):
             self.check_resend(key, digest, outcome.err_value.claim)
         if isinstance(outcome.err_value, Unknown):
-            self.given_up.append((key, claim))
+            self.unclaimed.append((key, claim))
         return multiple()
 
     def check_resend(self, key, digest, found):
@@ -138,10 +142,10 @@
         done(release_call(self.platform, row(key), claim.request))
         self.platform.record = ""
 
-    @precondition(lambda self: self.given_up)
+    @precondition(lambda self: self.unclaimed)
     @rule()
     def give_back(self):
-        key, claim = self.given_up.pop()
+        key, claim = self.unclaimed.pop()
         done(release_call(self.platform, row(key), claim.request))
 
     @rule(sender=ran, fault=FAULTS)
