--- a/src/caperridge/commands/confirm_intent.py
+++ b/src/caperridge/commands/confirm_intent.py
@@ -124,7 +124,7 @@
     if isinstance(read, Err):
         return Err(_nothing_written(read.err_value))
     head = read.ok_value
-    # Takes tenths of a second for thousands of callers, which would stall the loop.
+    # Takes tenths of a second for thousands of callers, too long for the event loop.
     plan = await asyncio.to_thread(make_plan, head.configuration, intent.wanted)
     if plan.digest != intent.digest:
         return Err(HeadMoved(plan))
--- a/src/caperridge/commands/sweep_job.py
+++ b/src/caperridge/commands/sweep_job.py
@@ -43,7 +43,7 @@
 
 
 async def sweep_rows(platform: Platform, prefix: str) -> Result[int, WriteError]:
-    """Delete up to :data:`MOST_ROWS` rows with ``prefix``; return how many."""
+    """Delete up to :data:`MAX_ROWS` rows with ``prefix``; return how many."""
     rows = await platform.scan(prefix, "", MAX_ROWS)
     if isinstance(rows, Err):
         return rows
--- a/src/caperridge/decisions/effects.py
+++ b/src/caperridge/decisions/effects.py
@@ -85,7 +85,7 @@
         self._context = context
 
     def add_target_loads(self, service: Service) -> None:
-        """Add what the targets of ``service`` load, its size and duration."""
+        """Add what the targets of ``service`` will load, with size and duration."""
         if service.kind != "engine":
             return
         before = self._current.services_by_name.get(service.name)
@@ -141,7 +141,7 @@
         )
 
     def add_callers(self) -> None:
-        """Add which callers lose access to all or to some services."""
+        """Add the callers that lose access to all or to some services."""
         removed: list[str] = []
         replaced: list[str] = []
         for name, caller in sorted(self._current.callers_by_name.items()):
@@ -170,7 +170,7 @@
         return [s for s in configuration.services_by_name if caller.may_use(s)]
 
     def add_jobs(self, name: str) -> None:
-        """Add which open jobs are affected by the change of a service."""
+        """Add the open jobs that the change of a service affects."""
         jobs = [job for job in self._context.open_jobs or [] if job.service == name]
         if not jobs:
             return
@@ -218,7 +218,7 @@
             self.warnings.append(text)
 
     def add_operators(self) -> None:
-        """Add which operators lose access, with a warning if it is the caller."""
+        """Add the operators that lose access; warn if the requesting one is affected."""
         before, after = (
             self._current.operators_by_name,
             self._wanted.operators_by_name,
--- a/src/caperridge/decisions/order_leases.py
+++ b/src/caperridge/decisions/order_leases.py
@@ -64,7 +64,7 @@
 
 
 class OrderLease:
-    """The lease of one target as row by one instance.
+    """The lease of one target as seen by one instance.
 
     Args:
         checks_fencing: whether the target refuses an old fencing number.
