--- a/src/caperridge/decisions/job_board.py
+++ b/src/caperridge/decisions/job_board.py
@@ -118,8 +118,8 @@
             self._set_wait_reason(service, NO_ROOM)
             return None
         rate = self.meter(service).per_s(now)
-        ahead = min(MAX_IN_HAND_ITEMS, room + int(rate * CLAIM_AHEAD_S))
-        if room == 0 and in_hand >= ahead:
+        max_in_hand = min(MAX_IN_HAND_ITEMS, room + int(rate * CLAIM_AHEAD_S))
+        if room == 0 and in_hand >= max_in_hand:
             self._set_wait_reason(service, "")
             return None
         loads: list[JobLoad] = []
@@ -130,7 +130,7 @@
             loads.append(JobLoad(job, in_hand_by_job.get(job.id, 0), remaining))
         ordered = order_jobs(loads, self._instance, rate, wall)
         slots = max(1, min(in_hand, MAX_IN_HAND_ITEMS) + room)
-        return ClaimQuota(max(room, ahead - in_hand), slots, rate, ordered)
+        return ClaimQuota(max(room, max_in_hand - in_hand), slots, rate, ordered)
 
     def _set_wait_reason(self, service: str, reason: str) -> None:
         for job_id, job in self.jobs_by_id.items():
