--- a/src/caperridge/decisions/effects.py
+++ b/src/caperridge/decisions/effects.py
@@ -218,11 +218,8 @@
             self.warnings.append(text)
 
     def add_operators(self) -> None:
-        """Add the operators that lose access; warn if the requesting one is affected."""
-        before, after = (
-            self._current.operators_by_name,
-            self._wanted.operators_by_name,
-        )
+        """Add the operators that lose access; warn if the requesting one does."""
+        before, after = self._current.operators_by_name, self._wanted.operators_by_name
         own = self._context.operator
         if own in before and own not in after:
             self.warnings.append(f"you ({own}) lose your own access")
