--- a/src/caperridge/gateway/jobs/__init__.py
+++ b/src/caperridge/gateway/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of opaque items: accepted once, run in the gaps, results at fixed positions."""
+"""Batch jobs of opaque items: run in free slots, with results at fixed positions."""
--- a/src/caperridge/gateway/jobs/acceptance.py
+++ b/src/caperridge/gateway/jobs/acceptance.py
@@ -1,9 +1,9 @@
-"""Accepting a job: once, whole, within the limit of its route, and for good.
+"""Idempotent acceptance of jobs under optimistic concurrency control.
 
-The items go into an object; then one transaction writes the job's entry into the
-index. It is conditional on the entry being absent and on the route's gate, which every
-acceptance writes: whoever sees the gate's version has seen all jobs accepted before,
-so the sum of what waits is never too small.
+The items are written to an object; then one transaction writes the job's entry into the
+index. It is conditional on the entry being absent and on the route's gate row, which
+every acceptance writes: a reader of the gate's version has also read all jobs accepted
+before, so its sum of waiting tokens is never too small.
 """
 
 import asyncio
@@ -33,26 +33,26 @@
 
 log = logger(__name__)
 
-PAUSE_S = 0.03
-LONGEST_PAUSE_S = 0.3
-# Time that is left for an answer to reach the caller before it gives up.
-SPARE_S = 0.3
+MIN_RETRY_DELAY_S = 0.03
+MAX_RETRY_DELAY_S = 0.3
+# Time reserved for the answer to reach the caller before its deadline.
+ANSWER_MARGIN_S = 0.3
 BUSY_RETRY_AFTER_S = 0.5
 FULL_RETRY_AFTER_S = 1.0
 
 
 class Accepted(Record):
-    """The job is kept; ``entry`` is its own, ``again`` if it had been sent before."""
+    """The job is stored as ``entry``; ``duplicate`` if it had been sent before."""
 
-    __slots__ = ("again", "entry")
+    __slots__ = ("duplicate", "entry")
 
-    def __init__(self, entry: JobEntry, again: bool = False) -> None:
+    def __init__(self, entry: JobEntry, duplicate: bool = False) -> None:
         self.entry = entry
-        self.again = again
+        self.duplicate = duplicate
 
 
 class NotAccepted(Record):
-    """The job is not kept; ``full`` if only its route's limit is in the way."""
+    """The job is not stored; ``full`` if its route has reached its limit."""
 
     __slots__ = ("full", "reason", "retry_after_s")
 
@@ -63,7 +63,7 @@
 
 
 class AcceptanceUnknown(Record):
-    """The job may be kept, now or later: the store's answers were lost."""
+    """The job may be stored, now or later: the store's answers were lost."""
 
     __slots__ = ("reason",)
 
@@ -78,10 +78,10 @@
     """Accepts jobs.
 
     Args:
-        store: keeps them.
-        index: of all jobs, as known here.
+        store: that jobs are written to.
+        index: local copy of the index of all jobs.
         clock: of the store.
-        chance: spreads repeats.
+        chance: adds jitter to retries.
     """
 
     def __init__(
@@ -95,19 +95,19 @@
     async def accept(
         self, route: Route, host: str, id: str, job: JobRequest, deadline: float
     ) -> Outcome:
-        """Keep ``job`` under ``id``.
+        """Store ``job`` under ``id``.
 
         Args:
-            route: that took it.
+            route: that matches the job.
             host: that it was sent to.
-            id: given by the caller; the same job again has the same.
+            id: given by the caller; a repeated job has the same id.
             job: its items.
-            deadline: on the loop's clock.
+            deadline: in seconds of the loop's clock.
         """
         if id in self._index.entries_by_job:
-            return Accepted(self._index.entries_by_job[id], again=True)
+            return Accepted(self._index.entries_by_job[id], duplicate=True)
         if not self._clock.known:
-            # Without the store's time the job's age would be wrong for good.
+            # Without the store's time the stored time of acceptance would be wrong.
             await self._refresh()
             if not self._clock.known:
                 return NotAccepted("the store was never reached", BUSY_RETRY_AFTER_S)
@@ -115,7 +115,7 @@
             return _full(route, self._index)
         nonce = secrets.token_hex(4)
         name = items_object(id, nonce)
-        stored = await self._keep_items(id, name, job, deadline)
+        stored = await self._store_items(id, name, job, deadline)
         if stored is not None:
             return stored
         entry = JobEntry(
@@ -127,7 +127,7 @@
             waiting_tokens=job.tokens,
             object=name,
         )
-        return await self._enter(route, entry, job, deadline)
+        return await self._write_entry(route, entry, job, deadline)
 
     def _fits(self, route: Route, job: JobRequest) -> bool:
         assert route.batch is not None
@@ -136,38 +136,38 @@
             return True
         return self._index.waiting_tokens(route.name) + job.tokens <= limit
 
-    async def _keep_items(
+    async def _store_items(
         self, id: str, name: str, job: JobRequest, deadline: float
     ) -> NotAccepted | None:
-        """Keep the items; nothing refers to them yet, so repeating does no harm."""
+        """Store the items; retries are safe, as nothing refers to them yet."""
         data = job_to_bytes(job)
-        pause_s = PAUSE_S
+        pause_s = MIN_RETRY_DELAY_S
         while True:
             answer = await self._store.put_object(name, data)
             if not isinstance(answer, Err):
                 return None
-            _log_another_try(id, answer.err_value)
+            _log_retry(id, answer.err_value)
             if not await self._pause(pause_s, deadline):
                 reason = f"the items cannot be kept: {answer.err_value.reason}"
                 return NotAccepted(reason, BUSY_RETRY_AFTER_S)
-            pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
+            pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
 
-    async def _enter(
+    async def _write_entry(
         self, route: Route, entry: JobEntry, job: JobRequest, deadline: float
     ) -> Outcome:
-        """Write the entry; once an answer was lost, only the store can say no."""
-        maybe_done = False
-        pause_s = PAUSE_S
+        """Write the entry; after a lost answer only the store can refuse it."""
+        may_be_done = False
+        pause_s = MIN_RETRY_DELAY_S
         own = to_bytes(entry)
         key = entry_key(entry.id)
         gate = gate_key(route.name)
         transaction = Transaction({}, {})
         while True:
-            if not maybe_done:
+            if not may_be_done:
                 if not self._fits(route, job):
                     return _full(route, self._index)
-                # An unanswered one is repeated as it was: at a later state of the gate
-                # the job might not fit.
+                # An unanswered transaction is repeated unchanged: with a later version
+                # of the gate the job might exceed the limit.
                 transaction = Transaction(
                     {key: 0, gate: self._index.gate_version(route.name)},
                     {key: own, gate: entry.id.encode()},
@@ -179,50 +179,50 @@
                 self._index.apply_row(StoredRow(gate, entry.id.encode(), version))
                 return Accepted(entry)
             error = answer.err_value
-            there = error.row(key) if isinstance(error, Refused) else None
-            if there is not None:
-                self._index.apply_row(there)
-                return Accepted(entry, again=there.value != own)
-            _log_another_try(entry.id, error)
+            existing = error.row(key) if isinstance(error, Refused) else None
+            if existing is not None:
+                self._index.apply_row(existing)
+                return Accepted(entry, duplicate=existing.value != own)
+            _log_retry(entry.id, error)
             if isinstance(error, Refused):
-                # The gate has moved on, so no earlier try can take effect any more.
-                maybe_done = False
+                # The gate has changed, so no earlier attempt can take effect any more.
+                may_be_done = False
                 await self._refresh()
-                if asyncio.get_running_loop().time() < deadline - SPARE_S:
+                if asyncio.get_running_loop().time() < deadline - ANSWER_MARGIN_S:
                     continue
             elif not isinstance(error, NotDone):
-                maybe_done = True
+                may_be_done = True
             if await self._pause(pause_s, deadline):
-                pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
+                pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
                 continue
-            if maybe_done:
+            if may_be_done:
                 return AcceptanceUnknown("the store's answer was lost")
             return NotAccepted("the store does not take it", BUSY_RETRY_AFTER_S)
 
     async def _refresh(self) -> None:
-        """Read the index: another instance accepted a job meanwhile.
+        """Read the index again, as another instance has accepted a job.
 
-        The gate comes with the first page, so the pages after it have all jobs that
-        were accepted before the gate became what it is there.
+        The gate is in the first page, so the pages after it contain all jobs accepted
+        before the version of the gate that was read.
         """
         answer = await read_whole(self._store, INDEX)
         if isinstance(answer, Err):
             return
         page: RowsRead = answer.ok_value
-        news = self._index.copy.take_whole(page.rows, page.version)
-        self._index.apply_rows(news)
+        changed = self._index.copy.take_whole(page.rows, page.version)
+        self._index.apply_rows(changed)
 
     async def _pause(self, pause_s: float, deadline: float) -> bool:
-        """Wait a little; False if the caller's time does not allow another try."""
+        """Wait with jitter; False if the deadline allows no further attempt."""
         pause_s *= 0.5 + self._chance.random()
-        if asyncio.get_running_loop().time() + pause_s > deadline - SPARE_S:
+        if asyncio.get_running_loop().time() + pause_s > deadline - ANSWER_MARGIN_S:
             return False
         await asyncio.sleep(pause_s)
         return True
 
 
-def _log_another_try(job: str, error: TransactionError) -> None:
-    """Say why a try did not do: each costs a late answer some of its time."""
+def _log_retry(job: str, error: TransactionError) -> None:
+    """Log why an attempt failed, which explains a late answer."""
     refused = isinstance(error, Refused)
     reason = "another job was accepted" if refused else error.reason
     log.info("job not accepted yet", job=job, reason=reason)
--- a/src/caperridge/gateway/jobs/asking.py
+++ b/src/caperridge/gateway/jobs/asking.py
@@ -1,8 +1,8 @@
-"""Whom to ask for slots where there are too many granters to ask each of them.
+"""Splitting slot requests between granters, where there are too many to ask each.
 
-Were each asked for all that is wanted, every granter would grant all of it, and all
-grants but one would be declined. So what is wanted is split, and what is not granted
-soon is asked elsewhere.
+If every granter were asked for all slots, each would grant all of them, and all grants
+but one would be declined. So the requests are split, and slots that are not granted
+soon are requested from other granters.
 """
 
 import heapq
@@ -11,18 +11,18 @@
 
 from caperridge.records import Record
 
-# So many slots more have to seem free at a target of another zone: what is known of it
-# is older, and its events cross zones.
-NEAR_SLOTS = 1
+# A target of another zone is preferred only if it has this many more free slots: its
+# counts are older here, and its events cross zones.
+NEAR_BONUS_SLOTS = 1
 
 
-class Opening(Record):
-    """A target as it looks from here.
+class TargetCapacity(Record):
+    """Free slots of one target, as far as this instance knows.
 
     Attributes:
-        granter: instance that grants its slots.
-        free: slots that seem free.
-        near: it runs in the own availability zone.
+        granter: id of the instance that grants its slots.
+        free: number of free slots; may be negative.
+        near: whether it is in this instance's availability zone.
     """
 
     __slots__ = ("free", "granter", "near")
@@ -33,32 +33,43 @@
         self.near = near
 
 
-def split(
-    wanted: int, openings: Iterable[Opening], chance: random.Random
+def split_requests(
+    wanted: int, capacities: Iterable[TargetCapacity], chance: random.Random
 ) -> dict[str, int]:
-    """Return how many slots to ask of each granter, ``wanted`` in all if it can be.
+    """Return how many slots to request from each granter.
 
-    Each slot is asked for where most seem free, so that online requests, which come in
-    bursts, find room everywhere. What is known of other zones is old, so one more is
-    asked of each target where nothing seems free.
+    Each slot is requested where most are free, so that bursts of online requests find
+    free slots at all targets. Counts of other zones are old, so one slot is requested
+    of each target that seems full.
 
-    >>> busy, empty = Opening("x", 0, near=True), Opening("y", 3, near=False)
-    >>> split(1, [busy, empty], random.Random(1))
+    Args:
+        wanted: number of slots in total; fewer are requested if targets are too few.
+        capacities: of the targets that may be used.
+        chance: breaks ties.
+
+    >>> full = TargetCapacity("x", 0, near=True)
+    >>> empty = TargetCapacity("y", 3, near=False)
+    >>> split_requests(1, [full, empty], random.Random(1))
     {'y': 1}
-    >>> split(5, [busy, empty], random.Random(1))
+    >>> split_requests(5, [full, empty], random.Random(1))
     {'y': 4, 'x': 1}
     """
-    asked: dict[str, int] = {}
+    requested: dict[str, int] = {}
     heap = [
-        (-one.free - NEAR_SLOTS * one.near, chance.random(), one.free, one.granter)
-        for one in openings
+        (
+            -one.free - NEAR_BONUS_SLOTS * one.near,
+            chance.random(),
+            one.free,
+            one.granter,
+        )
+        for one in capacities
     ]
     heapq.heapify(heap)
     for _ in range(wanted):
         if not heap:
             break
         rank, tie, free, granter = heapq.heappop(heap)
-        asked[granter] = asked.get(granter, 0) + 1
+        requested[granter] = requested.get(granter, 0) + 1
         if free > 0:
             heapq.heappush(heap, (rank + 1, tie, free - 1, granter))
-    return asked
+    return requested
--- a/src/caperridge/gateway/jobs/broker.py
+++ b/src/caperridge/gateway/jobs/broker.py
@@ -1,14 +1,15 @@
-"""Handing out free slots to items: one instance does it for each target.
-
-Were every instance to start an item where it sees a free slot, many would take the
-same one at once and all but one would have to give way. So the live instances agree by
-hashing on one that grants each target's slots, and each tells how many items it could
-start and when the most urgent one is due. If views differ for a moment, two grant the
-same slot, and an item gives way.
-
-Online requests come and go faster than items. Where they fill much of a target, an item
-in its last slot gives way to the next of them at once: a start, its prompt and a dozen
-messages for nothing. So a slot stays free beside them unless the item is due soon.
+"""Admission control for batch items: one instance grants the slots of each target.
+
+If every instance started an item wherever it sees a free slot, many would use the same
+slot at once and all but one item would be preempted. So rendezvous hashing over the
+live instances assigns each target a granter, and each instance reports how many items
+it could start and when the most urgent one is due. While views of the members differ,
+two instances may grant the same slot; one item is then preempted.
+
+Online requests start and end more often than items. Where they fill much of a target,
+an item in its last slot would be preempted by the next of them at once, which wastes a
+start, a read of the prompt and a dozen messages. So a slot is reserved beside them,
+unless the item is due soon.
 """
 
 from collections.abc import Iterable
@@ -18,27 +19,29 @@
 from caperridge.gateway.targets import Target
 from caperridge.records import Record
 
-# A grant that was not used by then was lost or came too late; messages take 2 ms, and
-# in a large fleet up to 20 ms more for each of the peers that pass them on.
-GRANT_S = 0.08
-RELAYED_GRANT_S = 0.12
-# Online requests that fill this share of a target's slots keep one of so many free
-# beside them. By a model of 15 targets of 8 slots and 130 requests/s of 0.7 s:
-# items give way 18 times a second instead of 73 and lose 5 in 100 of their time.
-CROWDED_SHARE = 0.5
-SLOTS_TO_A_SPARE = 8
-# An item runs for about 5 s; one that is due sooner than this takes any free slot.
-PRESSING_S = 6.0
-# A target that was said to be full is not granted from for so long.
-FULL_FOR_S = 0.25
-
-
-class Want(Record):
-    """Items of a service that an instance could start.
+# An unused grant expires then: it was lost or came too late. Messages take 2 ms, and
+# in a large fleet up to 20 ms more for each peer that relays them.
+GRANT_LIFETIME_S = 0.08
+RELAYED_GRANT_LIFETIME_S = 0.12
+# Where online requests fill this ratio of a target's slots, one slot of each
+# SLOTS_PER_RESERVED_SLOT is reserved for them. In a model of 15 targets of 8 slots and
+# 130 requests/s of 0.7 s, items are preempted 18 instead of 73 times a second, and lose
+# 5 % of their run time.
+BUSY_ONLINE_RATIO = 0.5
+SLOTS_PER_RESERVED_SLOT = 8
+# An item runs for about 5 s; one that is due sooner than this may use a reserved slot.
+URGENT_DUE_S = 6.0
+# No slots are granted for this long at a target that an instance reported as full.
+FULL_TARGET_PAUSE_S = 0.25
+
+
+class SlotRequest(Record):
+    """Slots that an instance requests for its items of one service.
 
     Attributes:
-        count: how many.
-        due: by when the most urgent one is ordered, on the store's clock.
+        count: number of items that it could start.
+        due: effective due time of the most urgent one, in seconds of the store's
+            clock.
     """
 
     __slots__ = ("count", "due")
@@ -49,13 +52,13 @@
 
 
 class Grant(Record):
-    """One slot of ``target`` for an item of ``instance``.
+    """Permission of ``instance`` to use one slot of ``target``.
 
     Attributes:
-        instance: that may use it.
-        target: where the slot is.
-        service: that the target serves.
-        until: when it is void if it was not used, on the loop's clock.
+        instance: id of the instance that may use it.
+        target: id of the target.
+        service: name of the service of the target.
+        until: when it expires if unused, in seconds of the loop's clock.
     """
 
     __slots__ = ("instance", "service", "target", "until")
@@ -69,15 +72,15 @@
         self.until = until
 
 
-def spare_slots(target: Target, count: Count) -> int:
-    """Return how many free slots of ``target`` are kept for online requests."""
-    if count.online < target.slots * CROWDED_SHARE:
+def reserved_slots(target: Target, count: Count) -> int:
+    """Return how many free slots of ``target`` are reserved for online requests."""
+    if count.online < target.slots * BUSY_ONLINE_RATIO:
         return 0
-    return target.slots // SLOTS_TO_A_SPARE
+    return target.slots // SLOTS_PER_RESERVED_SLOT
 
 
 class Members(Record):
-    """Who may grant: instances by availability zone, this one included."""
+    """Candidates for granters: instances by availability zone, this one included."""
 
     __slots__ = ("by_zone",)
 
@@ -85,7 +88,7 @@
         self.by_zone = by_zone
 
     def granter(self, target: Target) -> str | None:
-        """Return who grants the slots of ``target``: one of its zone, if it has any."""
+        """Return the granter of ``target``, one of its zone if there is any."""
         near = self.by_zone.get(target.availability_zone)
         if near:
             return owner(target.id, near)
@@ -93,7 +96,7 @@
 
 
 class SlotBroker:
-    """Grants the slots of the targets that fall to this instance.
+    """Grants the slots of the targets whose granter is this instance.
 
     Args:
         own: id of this instance.
@@ -103,41 +106,41 @@
         self.own = own
         self._granters_key: tuple[Members, int] | None = None
         self._granter_by_target: dict[str, str | None] = {}
-        self._granting: list[str] = []
-        self._wants_by_instance: dict[str, dict[str, Want]] = {}
+        self._granted_target_ids: list[str] = []
+        self._requests_by_instance: dict[str, dict[str, SlotRequest]] = {}
         self._grants: list[Grant] = []
         self._full_until_by_target: dict[str, float] = {}
 
     @property
-    def wanted(self) -> bool:
-        """Whether any instance could start an item."""
+    def has_requests(self) -> bool:
+        """Whether any instance requests a slot."""
         return any(
-            want.count > 0
-            for wants in self._wants_by_instance.values()
-            for want in wants.values()
+            request.count > 0
+            for requests in self._requests_by_instance.values()
+            for request in requests.values()
         )
 
-    def falls_here(
+    def granted_target_ids(
         self, members: Members, targets: Iterable[Target], changes: int
     ) -> list[str]:
-        """Return the ids of the targets whose slots this instance grants.
+        """Return the ids of the targets whose granter is this instance.
 
         Args:
-            members: who may grant.
-            targets: all of them.
-            changes: counts the changes of ``targets``.
+            members: candidates for granters.
+            targets: all targets.
+            changes: number of changes of ``targets`` so far; the cache's key.
         """
-        self._work_out_granters(members, targets, changes)
-        return self._granting
+        self._update_granters(members, targets, changes)
+        return self._granted_target_ids
 
-    def granters(
+    def granter_by_target(
         self, members: Members, targets: Iterable[Target], changes: int
     ) -> dict[str, str | None]:
-        """Return who grants the slots of each target; see :meth:`falls_here`."""
-        self._work_out_granters(members, targets, changes)
+        """Return the granter of each target; see :meth:`granted_target_ids`."""
+        self._update_granters(members, targets, changes)
         return self._granter_by_target
 
-    def _work_out_granters(
+    def _update_granters(
         self, members: Members, targets: Iterable[Target], changes: int
     ) -> None:
         key = (members, changes)
@@ -147,46 +150,48 @@
         self._granter_by_target = {
             target.id: members.granter(target) for target in targets
         }
-        self._granting = [
+        self._granted_target_ids = [
             id for id, granter in self._granter_by_target.items() if granter == self.own
         ]
 
-    def wants(self, instance: str, wants_by_service: dict[str, Want]) -> None:
-        """Take what ``instance`` could start."""
-        self._wants_by_instance[instance] = wants_by_service
+    def set_requests(
+        self, instance: str, requests_by_service: dict[str, SlotRequest]
+    ) -> None:
+        """Replace the requests of ``instance``."""
+        self._requests_by_instance[instance] = requests_by_service
 
-    def forget(self, instance: str) -> None:
-        """Drop what an instance said that is not heard from any more."""
-        self._wants_by_instance.pop(instance, None)
+    def remove_instance(self, instance: str) -> None:
+        """Remove requests and grants of an instance that was lost."""
+        self._requests_by_instance.pop(instance, None)
         self._grants = [grant for grant in self._grants if grant.instance != instance]
 
-    def used(self, instance: str, target: str) -> None:
-        """Note that an instance started an item; it then wants one slot less."""
-        grant = self._settle(instance, target)
-        want = self._want(instance, grant.service) if grant is not None else None
-        if want is not None:
-            want.count -= 1
+    def record_used(self, instance: str, target: str) -> None:
+        """Record that an instance started an item, and so requests one slot less."""
+        grant = self._pop_grant(instance, target)
+        request = self._request(instance, grant.service) if grant is not None else None
+        if request is not None:
+            request.count -= 1
 
-    def declined(self, instance: str, target: str) -> None:
-        """Note that an instance had no item for a grant, whatever it said it wants."""
-        grant = self._settle(instance, target)
+    def record_declined(self, instance: str, target: str) -> None:
+        """Record that an instance had no item for a grant; drops its requests."""
+        grant = self._pop_grant(instance, target)
         if grant is not None:
-            self._wants_by_instance.get(instance, {}).pop(grant.service, None)
+            self._requests_by_instance.get(instance, {}).pop(grant.service, None)
 
-    def declined_as_full(self, instance: str, target: str, now: float) -> None:
-        """Note that an instance found no free slot where it was granted one."""
-        self._settle(instance, target)
-        self._full_until_by_target[target] = now + FULL_FOR_S
+    def record_full(self, instance: str, target: str, now: float) -> None:
+        """Record that an instance found no free slot where it was granted one."""
+        self._pop_grant(instance, target)
+        self._full_until_by_target[target] = now + FULL_TARGET_PAUSE_S
 
-    def _settle(self, instance: str, target: str) -> Grant | None:
+    def _pop_grant(self, instance: str, target: str) -> Grant | None:
         for grant in self._grants:
             if grant.instance == instance and grant.target == target:
                 self._grants.remove(grant)
                 return grant
         return None
 
-    def _want(self, instance: str, service: str) -> Want | None:
-        return self._wants_by_instance.get(instance, {}).get(service)
+    def _request(self, instance: str, service: str) -> SlotRequest | None:
+        return self._requests_by_instance.get(instance, {}).get(service)
 
     def grant(
         self,
@@ -194,31 +199,31 @@
         occupancy: Occupancy,
         store_now: float,
         now: float,
-        grant_s: float = GRANT_S,
+        grant_s: float = GRANT_LIFETIME_S,
     ) -> list[Grant]:
         """Return grants of free slots, the most urgent items first.
 
         Args:
-            targets: whose slots fall to this instance, as far as they can be used.
-            occupancy: counts at them.
-            store_now: the store's clock, which items are due by.
-            now: the loop's clock.
-            grant_s: how long a grant may be used.
+            targets: usable targets whose granter is this instance.
+            occupancy: counts of runs at them.
+            store_now: time on the store's clock, in which due times are given.
+            now: time on the loop's clock.
+            grant_s: lifetime of a grant, in seconds.
         """
         self._grants = [grant for grant in self._grants if grant.until > now]
-        free_by_id, targets_by_id = self._free(targets, occupancy, now)
+        free_by_id, target_by_id = self._free_slots(targets, occupancy, now)
         granted: list[Grant] = []
         while free_by_id:
             id = max(free_by_id, key=lambda one: free_by_id[one])
-            target = targets_by_id[id]
+            target = target_by_id[id]
             service = target.service
             instance = self._most_urgent(service, store_now)
             if instance is None:
                 del free_by_id[id]
                 continue
-            pressing = self._is_pressing(instance, service, store_now)
-            spare = 0 if pressing else spare_slots(target, occupancy.at(id))
-            if free_by_id[id] <= spare:
+            urgent = self._is_urgent(instance, service, store_now)
+            reserved = 0 if urgent else reserved_slots(target, occupancy.at(id))
+            if free_by_id[id] <= reserved:
                 del free_by_id[id]
                 continue
             grant = Grant(instance, id, service, now + grant_s)
@@ -229,39 +234,39 @@
                 del free_by_id[id]
         return granted
 
-    def _free(
+    def _free_slots(
         self, targets: Iterable[Target], occupancy: Occupancy, now: float
     ) -> tuple[dict[str, int], dict[str, Target]]:
         free_by_id: dict[str, int] = {}
-        targets_by_id: dict[str, Target] = {}
+        target_by_id: dict[str, Target] = {}
         for target in targets:
             if self._full_until_by_target.get(target.id, 0.0) > now:
                 continue
-            promised = sum(1 for grant in self._grants if grant.target == target.id)
-            free = target.slots - occupancy.at(target.id).total - promised
+            granted = sum(1 for grant in self._grants if grant.target == target.id)
+            free = target.slots - occupancy.at(target.id).total - granted
             if free > 0:
                 free_by_id[target.id] = free
-                targets_by_id[target.id] = target
-        return free_by_id, targets_by_id
+                target_by_id[target.id] = target
+        return free_by_id, target_by_id
 
     def _most_urgent(self, service: str, store_now: float) -> str | None:
         best: str | None = None
         best_rank: tuple[bool, float, str] | None = None
-        for instance, wants in self._wants_by_instance.items():
-            want = wants.get(service)
-            if want is None or want.count <= self._promised_to(instance, service):
+        for instance, requests in self._requests_by_instance.items():
+            request = requests.get(service)
+            if request is None or request.count <= self._granted_to(instance, service):
                 continue
-            rank = (want.due < store_now, want.due, instance)
+            rank = (request.due < store_now, request.due, instance)
             if best_rank is None or rank < best_rank:
                 best, best_rank = instance, rank
         return best
 
-    def _is_pressing(self, instance: str, service: str, store_now: float) -> bool:
-        """Whether the most urgent item may come late if it waits for a calm target."""
-        want = self._want(instance, service)
-        return want is not None and 0.0 <= want.due - store_now < PRESSING_S
+    def _is_urgent(self, instance: str, service: str, store_now: float) -> bool:
+        """Whether the most urgent item may be late if it waits for an idle target."""
+        request = self._request(instance, service)
+        return request is not None and 0.0 <= request.due - store_now < URGENT_DUE_S
 
-    def _promised_to(self, instance: str, service: str) -> int:
+    def _granted_to(self, instance: str, service: str) -> int:
         return sum(
             1
             for grant in self._grants
--- a/src/caperridge/gateway/jobs/claims.py
+++ b/src/caperridge/gateway/jobs/claims.py
@@ -1,7 +1,8 @@
-"""Becoming the holder of a job.
+"""Claims of jobs: acquiring a lease by a conditional write (compare-and-set).
 
-The claim is one write of the job's head, conditional on the head as it was read: of
-two instances that try at once, one succeeds. What earlier holders kept is taken over.
+A claim is one write of the job's head, conditional on the head as it was read, so of
+two instances that try at once one succeeds. Results and progress that earlier holders
+stored are restored.
 """
 
 from collections.abc import Callable
@@ -45,8 +46,8 @@
 log = logger(__name__)
 
 
-class Ended(Record):
-    """No more results will come, as ``head`` says."""
+class JobFinished(Record):
+    """The job is complete or cancelled, as ``head`` shows."""
 
     __slots__ = ("head",)
 
@@ -55,7 +56,7 @@
 
 
 class HeldBy(Record):
-    """``holder``, an incarnation, has the job and may not be replaced yet."""
+    """The incarnation ``holder`` has the job and may not be replaced yet."""
 
     __slots__ = ("holder",)
 
@@ -63,23 +64,23 @@
         self.holder = holder
 
 
-class Unclaimed(Record):
-    """The store did not answer, or another claim came first; try again later.
+class ClaimFailed(Record):
+    """The store did not answer, or another claim came first; retry later.
 
     Attributes:
-        reason: in a word.
-        maybe_ours: the claim may have taken effect, now or later.
+        reason: short description.
+        may_be_ours: the claim may have taken effect, or may still do so.
     """
 
-    __slots__ = ("maybe_ours", "reason")
+    __slots__ = ("may_be_ours", "reason")
 
-    def __init__(self, reason: str, maybe_ours: bool = False) -> None:
+    def __init__(self, reason: str, may_be_ours: bool = False) -> None:
         self.reason = reason
-        self.maybe_ours = maybe_ours
+        self.may_be_ours = may_be_ours
 
 
-Claim = HeldJob | Ended | HeldBy | Unclaimed
-# Told a job and an incarnation.
+Claim = HeldJob | JobFinished | HeldBy | ClaimFailed
+# Takes the id of a job and the incarnation of its holder.
 MayReplace = Callable[[str, str], bool]
 
 
@@ -87,8 +88,8 @@
     """Claims jobs for one instance.
 
     Args:
-        store: that keeps them.
-        mesh: tells the own incarnation.
+        store: of jobs.
+        mesh: provides this instance's incarnation.
     """
 
     def __init__(self, store: RowStore, mesh: Mesh) -> None:
@@ -105,14 +106,14 @@
 
         Args:
             entry: of the job.
-            items: if this instance just accepted the job, so that nothing is read.
-            may_replace: asked about another holder that the store names.
+            items: given if this instance just accepted the job; nothing is read then.
+            may_replace: decides whether another holder may be replaced.
         """
         rows: list[StoredRow] = []
         if items is None:
             answer = await read_whole(self._store, JOBS, entry.id)
             if isinstance(answer, Err):
-                return Unclaimed("its rows cannot be read")
+                return ClaimFailed("its rows cannot be read")
             rows = answer.ok_value.rows
         head_row = next((row for row in rows if is_head(row.key)), None)
         head = JobHead("", entry.total)
@@ -121,38 +122,38 @@
                 head = from_bytes(JobHead, head_row.value)
             except UnreadableError as error:
                 log.error("head skipped", job=entry.id, reason=str(error))
-                return Unclaimed("its head cannot be read")
+                return ClaimFailed("its head cannot be read")
         if head.finished:
-            return Ended(head)
-        others = head.holder not in ("", self._mesh.incarnation)
-        if others and not may_replace(entry.id, head.holder):
+            return JobFinished(head)
+        held_elsewhere = head.holder not in ("", self._mesh.incarnation)
+        if held_elsewhere and not may_replace(entry.id, head.holder):
             return HeldBy(head.holder)
         if items is None:
             items = await self._read_items(entry)
             if items is None:
-                return Unclaimed("its items cannot be read")
+                return ClaimFailed("its items cannot be read")
         version = head_row.version if head_row is not None else ABSENT
         job = HeldJob(entry, head, version, items)
         _restore(job, rows)
-        return await self._taken(job)
+        return await self._write_claim(job)
 
-    async def _taken(self, job: HeldJob) -> Claim:
+    async def _write_claim(self, job: HeldJob) -> Claim:
         id = job.entry.id
-        before = job.head
-        head = before.replace(holder=self._mesh.incarnation, turn=before.turn + 1)
+        previous = job.head
+        head = previous.replace(holder=self._mesh.incarnation, turn=previous.turn + 1)
         key = head_key(id)
         claim = Transaction({key: job.version}, {key: to_bytes(head)})
         answer = await self._store.transact(claim)
         if isinstance(answer, Err):
             error = type(answer.err_value).__name__
             log.info("claim failed", job=id, error=error, version=job.version)
-            return Unclaimed(error, isinstance(answer.err_value, Unknown))
+            return ClaimFailed(error, isinstance(answer.err_value, Unknown))
         job.head = head
         job.version = answer.ok_value.version
         log.info(
             "job held",
             job=id,
-            before=before.holder,
+            before=previous.holder,
             listed=head.listed,
             total=head.total,
             version=job.version,
@@ -171,7 +172,7 @@
 
 
 def _restore(job: HeldJob, rows: list[StoredRow]) -> None:
-    """Take over what earlier holders kept; a row that cannot be read is skipped."""
+    """Restore results and progress of earlier holders; skip unreadable rows."""
     results: list[ItemResult] = []
     for row in rows:
         try:
--- a/src/caperridge/gateway/jobs/codec.py
+++ b/src/caperridge/gateway/jobs/codec.py
@@ -1,4 +1,4 @@
-"""Jobs, heads, progress and results as bytes in the store."""
+"""Serialization of jobs, heads, progress and results for the store."""
 
 import functools
 import typing
@@ -11,11 +11,11 @@
 
 
 class UnreadableError(Exception):
-    """A row or object of the store that holds something else."""
+    """A row or object of the store could not be decoded."""
 
 
 def to_bytes(record: Record) -> bytes:
-    """Return ``record`` as kept in the store."""
+    """Return ``record`` as stored."""
     return pack(record)
 
 
@@ -23,7 +23,7 @@
     """Return the record in ``value``; fields of another release are dropped.
 
     Raises:
-        UnreadableError: it holds none.
+        UnreadableError: ``value`` is not such a record.
     """
     try:
         return _typed(kind, unpack(value))
@@ -32,7 +32,7 @@
 
 
 def job_to_bytes(job: JobRequest) -> bytes:
-    """Return the items of ``job`` as kept in an object."""
+    """Return the items of ``job`` as stored in an object."""
     return pack([item.to_map() for item in job.items])
 
 
@@ -40,7 +40,7 @@
     """Return the job in an object.
 
     Raises:
-        UnreadableError: it holds none.
+        UnreadableError: ``data`` is not a list of items.
     """
     try:
         return JobRequest([_typed(JobItem, fields) for fields in unpack(data)])
@@ -49,7 +49,7 @@
 
 
 def _typed(kind: type[R], fields: Any) -> R:
-    """Return the record in ``fields``.
+    """Return the record with ``fields``, whose types are checked.
 
     Raises:
         TypeError: a field is missing, or of another type than in this release.
@@ -69,7 +69,7 @@
 
 
 def _fits(value: Any, type_: Any) -> bool:
-    """Whether ``value`` is of a plain type or a list of such.
+    """Whether ``value`` has the type, which is a plain one or a list.
 
     >>> _fits(1, float), _fits(True, int), _fits([["a"]], list[list[str]])
     (True, False, True)
--- a/src/caperridge/gateway/jobs/edge.py
+++ b/src/caperridge/gateway/jobs/edge.py
@@ -1,4 +1,4 @@
-"""What callers ask of jobs: taking one, reading it, ending it; at any instance."""
+"""The API of jobs for callers, at any instance: submit, read results, cancel."""
 
 import asyncio
 from collections import OrderedDict
@@ -42,19 +42,19 @@
 
 log = logger(__name__)
 
-# Callers give up an acceptance after their deadline; beyond this, an answer is late.
-ACCEPT_S = 3.5
-CANCEL_S = 3.0
+# Callers time out an acceptance; a later answer would not reach them.
+ACCEPT_TIMEOUT_S = 3.5
+CANCEL_TIMEOUT_S = 3.0
 RETRY_AFTER_S = 0.3
-PAUSE_S = 0.1
-MOST_PAGE_BYTES = 900_000
-CACHED_JOBS = 8
-# A read that waits looks at the store this often even if nobody tells of a result.
-LOOK_S = 1.0
+CANCEL_RETRY_DELAY_S = 0.1
+MAX_PAGE_BYTES = 900_000
+MAX_CACHED_JOBS = 8
+# A waiting read polls the store at this interval in case no peer reports a result.
+POLL_INTERVAL_S = 1.0
 
 
 class JobAnswer(Record):
-    """What a caller gets: a status, and where it is 200 what was asked for."""
+    """An answer to a caller: a status and, if it is 200, the content."""
 
     __slots__ = ("body", "page", "reason", "retry_after_s", "status")
 
@@ -74,19 +74,19 @@
 
 
 NO_SUCH_JOB = JobAnswer(404, "no such job")
-NOT_SURE = JobAnswer(503, "the store does not answer", RETRY_AFTER_S)
+STORE_UNAVAILABLE = JobAnswer(503, "the store does not answer", RETRY_AFTER_S)
 
 
 class JobsEdge:
-    """Answers callers about jobs.
+    """Handles calls about jobs.
 
     Args:
-        store: keeps them.
+        store: of jobs.
         index: of all jobs.
-        acceptance: of new ones.
-        keeper: of those held here.
-        metrics: counted into.
-        limits: of answers.
+        acceptance: of new jobs.
+        keeper: of the jobs held by this instance.
+        metrics: of the instance.
+        limits: of the time of answers.
     """
 
     def __init__(
@@ -109,8 +109,8 @@
     async def accept(
         self, route: Route, host: str, id: str, job: JobRequest, arrived: float
     ) -> JobAnswer:
-        """Keep a job for good and begin to work on it."""
-        deadline = min(arrived + ACCEPT_S, self._limits.until)
+        """Store a job and start to work on it."""
+        deadline = min(arrived + ACCEPT_TIMEOUT_S, self._limits.until)
         try:
             async with self._limits.within():
                 outcome = await self._acceptance.accept(route, host, id, job, deadline)
@@ -129,8 +129,8 @@
         )
         self._metrics.jobs.labels(type(outcome).__name__).inc()
         if isinstance(outcome, Accepted):
-            if not outcome.again and not self._keeper.leaving:
-                self._keeper.accepted(outcome.entry, job.items)
+            if not outcome.duplicate and not self._keeper.leaving:
+                self._keeper.job_accepted(outcome.entry, job.items)
             return JobAnswer(202, "accepted")
         if isinstance(outcome, AcceptanceUnknown):
             return JobAnswer(504, outcome.reason)
@@ -138,31 +138,31 @@
         return JobAnswer(status, outcome.reason, outcome.retry_after_s)
 
     async def results(self, id: str, first: int, wait_s: float) -> JobAnswer:
-        """Return the results from position ``first`` on; wait for one if asked to."""
+        """Return the results from position ``first`` on, waiting if there are none."""
         try:
             async with self._limits.within():
                 return await self._results(id, first, wait_s)
         except TimeoutError:
-            return NOT_SURE
+            return STORE_UNAVAILABLE
 
     async def _results(self, id: str, first: int, wait_s: float) -> JobAnswer:
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_s
         while True:
-            entry = await self._entry(id)
+            entry = await self._find_entry(id)
             if isinstance(entry, JobAnswer):
                 return entry
-            event = self._keeper.wait_for(id)
-            found = await self._listed(entry, first)
-            if found is None:
-                return NOT_SURE
-            # A stop ends the wait a look earlier than the answer is due.
-            left_s = min(until, self._limits.until - LOOK_S) - loop.time()
-            if found or left_s <= 0 or not entry.open:
-                page = ResultsPage(entry.total, first, found)
+            event = self._keeper.next_result_event(id)
+            results = await self._read_results(entry, first)
+            if results is None:
+                return STORE_UNAVAILABLE
+            # Before a stop, the wait ends one poll before the last time for the answer.
+            remaining_s = min(until, self._limits.until - POLL_INTERVAL_S) - loop.time()
+            if results or remaining_s <= 0 or not entry.open:
+                page = ResultsPage(entry.total, first, results)
                 return JobAnswer(200, page=page)
             try:
-                async with asyncio.timeout(min(left_s, LOOK_S)):
+                async with asyncio.timeout(min(remaining_s, POLL_INTERVAL_S)):
                     await event.wait()
             except TimeoutError:
                 if until - loop.time() <= 0:
@@ -174,22 +174,22 @@
             async with self._limits.within():
                 return await self._body(id, item)
         except TimeoutError:
-            return NOT_SURE
+            return STORE_UNAVAILABLE
 
     async def _body(self, id: str, item: str) -> JobAnswer:
-        entry = await self._entry(id)
+        entry = await self._find_entry(id)
         if isinstance(entry, JobAnswer):
             return entry
-        job = await self._items(entry)
+        job = await self._read_items(entry)
         if job is None:
-            return NOT_SURE
-        for one in job.items:
-            if one.id == item:
-                return JobAnswer(200, body=one.body)
+            return STORE_UNAVAILABLE
+        for job_item in job.items:
+            if job_item.id == item:
+                return JobAnswer(200, body=job_item.body)
         return JobAnswer(404, "no such item")
 
     async def cancel(self, id: str) -> JobAnswer:
-        """End a job; what is listed stays."""
+        """Cancel a job; results that are listed stay."""
         try:
             async with self._limits.within():
                 return await self._cancel(id)
@@ -198,21 +198,21 @@
 
     async def _cancel(self, id: str) -> JobAnswer:
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + CANCEL_S
-        entry = await self._entry(id)
+        deadline = loop.time() + CANCEL_TIMEOUT_S
+        entry = await self._find_entry(id)
         if isinstance(entry, JobAnswer):
             return entry
         while loop.time() < deadline:
-            ended = await self._ended(entry)
-            if ended:
+            cancelled = await self._write_cancellation(entry)
+            if cancelled:
                 log.info("job cancelled", job=id)
-                self._keeper.cancelled(id)
+                self._keeper.job_cancelled(id)
                 return JobAnswer(200, "ended")
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(CANCEL_RETRY_DELAY_S)
         return JobAnswer(504, "the store does not answer")
 
-    async def _ended(self, entry: JobEntry) -> bool:
-        """Write the cancellation into the job's head; False to try again."""
+    async def _write_cancellation(self, entry: JobEntry) -> bool:
+        """Write the cancellation into the job's head; False to retry."""
         key = head_key(entry.id)
         answer = await self._store.read(
             JOBS, entry.id, first=key.key, end=key.key + "\x00"
@@ -231,34 +231,44 @@
             version = rows[0].version
         if head.finished:
             return True
-        ended = to_bytes(head.replace(cancelled=True, turn=head.turn + 1))
-        written = await self._store.transact(Transaction({key: version}, {key: ended}))
+        value = to_bytes(head.replace(cancelled=True, turn=head.turn + 1))
+        written = await self._store.transact(Transaction({key: version}, {key: value}))
         if not isinstance(written, Err):
             return True
-        refused = written.err_value
-        if not isinstance(refused, Refused):
+        error = written.err_value
+        if not isinstance(error, Refused):
             return False
-        row = refused.row(key)
-        return row is not None and row.value == ended
+        row = error.row(key)
+        return row is not None and row.value == value
 
-    async def _entry(self, id: str) -> JobEntry | JobAnswer:
-        """Return a job's entry, or why there is none."""
+    async def _find_entry(self, id: str) -> JobEntry | JobAnswer:
+        """Return a job's entry, or the answer if there is none."""
         entry = self._index.entries_by_job.get(id)
         if entry is not None:
             return entry
         key = entry_key(id)
         answer = await self._store.read(INDEX, first=key.key, end=key.key + "\x00")
         if isinstance(answer, Err):
-            return NOT_SURE
+            return STORE_UNAVAILABLE
         for row in answer.ok_value.rows:
             self._index.apply_row(row)
         return self._index.entries_by_job.get(id, NO_SUCH_JOB)
 
-    async def _listed(self, entry: JobEntry, first: int) -> list[ItemResult] | None:
-        """Return the results from ``first`` on, up to the size of a page."""
-        known = self._keeper.listed_by_id.get(entry.id)
+    async def _read_results(
+        self, entry: JobEntry, first: int
+    ) -> list[ItemResult] | None:
+        """Return the results from ``first`` on, up to the size of a page.
+
+        None if the store does not answer.
+        """
+        listed = self._keeper.listed_by_id.get(entry.id)
         held = self._keeper.held_by_id.get(entry.id)
-        if held is not None and not held.lost and known is not None and first >= known:
+        if (
+            held is not None
+            and not held.lost
+            and listed is not None
+            and first >= listed
+        ):
             return []
         answer = await self._store.read(
             JOBS,
@@ -268,9 +278,9 @@
         )
         if isinstance(answer, Err):
             return None
-        return await self._decoded(entry, first, answer.ok_value.rows)
+        return await self._decode_results(entry, first, answer.ok_value.rows)
 
-    async def _decoded(
+    async def _decode_results(
         self, entry: JobEntry, first: int, rows: list[StoredRow]
     ) -> list[ItemResult] | None:
         results: list[ItemResult] = []
@@ -289,12 +299,12 @@
                     return results or None
                 result = result.replace(text=answer.ok_value, object="")
             size += len(result.text)
-            if results and size > MOST_PAGE_BYTES:
+            if results and size > MAX_PAGE_BYTES:
                 break
             results.append(result)
         return results
 
-    async def _items(self, entry: JobEntry) -> JobRequest | None:
+    async def _read_items(self, entry: JobEntry) -> JobRequest | None:
         job = self._jobs_by_object.get(entry.object)
         if job is not None:
             return job
@@ -307,6 +317,6 @@
             log.error("items skipped", job=entry.id, reason=str(error))
             return None
         self._jobs_by_object[entry.object] = job
-        while len(self._jobs_by_object) > CACHED_JOBS:
+        while len(self._jobs_by_object) > MAX_CACHED_JOBS:
             self._jobs_by_object.popitem(last=False)
         return job
--- a/src/caperridge/gateway/jobs/granting.py
+++ b/src/caperridge/gateway/jobs/granting.py
@@ -1,7 +1,8 @@
-"""Asking for slots for the own items, and granting those of the targets that fall here.
+"""Requesting slots for this instance's items, and granting slots to other instances.
 
-With few peers each is told all wants, and whoever has a free slot grants it. With many
-the wants are split between granters; see :mod:`caperridge.gateway.jobs.asking`.
+With few peers all requests are sent to all of them, and the granter of any free slot
+grants it. With many peers the requests are split between granters; see
+:mod:`caperridge.gateway.jobs.asking`.
 """
 
 import asyncio
@@ -10,14 +11,14 @@
 
 from caperridge.gateway.clock import StoreClock
 from caperridge.gateway.fleet import Fleet
-from caperridge.gateway.jobs.asking import Opening, split
+from caperridge.gateway.jobs.asking import TargetCapacity, split_requests
 from caperridge.gateway.jobs.broker import (
-    GRANT_S,
-    RELAYED_GRANT_S,
+    GRANT_LIFETIME_S,
+    RELAYED_GRANT_LIFETIME_S,
     Members,
     SlotBroker,
-    Want,
-    spare_slots,
+    SlotRequest,
+    reserved_slots,
 )
 from caperridge.gateway.jobs.held_job import HeldJob
 from caperridge.gateway.jobs.slots import ItemSlots
@@ -25,24 +26,24 @@
 from caperridge.gateway.mesh.messages import SlotDecline, SlotGrant, SlotWants
 from caperridge.gateway.targets import Target
 
-# News may be lost with a stream, so wants are told again now and then.
-TELL_AGAIN_S = 1.2
-# Slots that were not granted by then are asked for elsewhere; an answer takes 2 ms.
-ASK_ELSEWHERE_S = 0.3
+# Messages may be lost with a stream, so requests are sent again periodically.
+RESEND_INTERVAL_S = 1.2
+# Slots not granted by then are requested from other granters; an answer takes 2 ms.
+UNGRANTED_TIMEOUT_S = 0.3
 
-Wants = dict[str, Want]
+RequestsByService = dict[str, SlotRequest]
 
 
 class SlotGranting:
-    """One instance's part in who gets free slots.
+    """Exchanges slot requests and grants with peers.
 
     Args:
         mesh: of peers.
         fleet: targets and counts.
-        clock: of the store, which items are due by.
+        clock: of the store, in which due times are given.
         slots: starts items.
-        broker: decides who gets the slots that fall to this instance.
-        chance: spreads what is asked.
+        broker: grants the slots of the targets whose granter is this instance.
+        chance: spreads requests between granters.
     """
 
     def __init__(
@@ -62,44 +63,44 @@
         self._chance = chance
         self._members = Members({})
         self._members_key = -1
-        self._told_wants: Wants = {}
-        self._tell_again_at = 0.0
-        self._asked_by_granter: dict[str, Wants] = {}
-        self._ask_elsewhere_at = 0.0
-        self._news: Callable[[], None] = lambda: None
-        mesh.register(SlotWants, self._peer_wants)
-        mesh.register(SlotDecline, self._declined)
-        mesh.on_lose(lambda member: self._forget(member.id))
-
-    def on_news(self, call: Callable[[], None]) -> None:
+        self._sent_requests: RequestsByService = {}
+        self._resend_at = 0.0
+        self._requests_by_granter: dict[str, RequestsByService] = {}
+        self._split_again_at = 0.0
+        self._updated: Callable[[], None] = lambda: None
+        mesh.register(SlotWants, self._handle_requests)
+        mesh.register(SlotDecline, self._handle_decline)
+        mesh.on_lose(lambda member: self._remove_instance(member.id))
+
+    def on_update(self, call: Callable[[], None]) -> None:
         """Have ``call`` called when there may be slots to grant."""
-        self._news = call
+        self._updated = call
 
     @property
     def has_requests(self) -> bool:
-        """Whether any instance asked this one for slots."""
-        return self._broker.wanted
+        """Whether any instance requested slots from this one."""
+        return self._broker.has_requests
 
     def slot_used(self, instance: str, target: str) -> None:
-        """Note that ``instance`` started an item at ``target``."""
-        self._broker.used(instance, target)
+        """Record that ``instance`` started an item at ``target``."""
+        self._broker.record_used(instance, target)
 
     def granted_targets(self) -> list[Target]:
-        """Return the targets in use whose slots this instance grants."""
+        """Return the usable targets whose granter is this instance."""
         now = asyncio.get_running_loop().time()
         by_id = self._fleet.targets.by_id
-        here = self._broker.falls_here(*self._granter_inputs())
-        return [by_id[id] for id in here if self._fleet.takes_items(id, now)]
+        ids = self._broker.granted_target_ids(*self._granter_inputs())
+        return [by_id[id] for id in ids if self._fleet.takes_items(id, now)]
 
-    def grants(self, target: str) -> bool:
-        """Whether this instance grants the slots of ``target``."""
-        granters = self._broker.granters(*self._granter_inputs())
+    def is_granter_of(self, target: str) -> bool:
+        """Whether this instance is the granter of ``target``."""
+        granters = self._broker.granter_by_target(*self._granter_inputs())
         return granters.get(target) == self._mesh.instance
 
-    def step(self, jobs: list[HeldJob], now: float) -> None:
-        """Ask for what the own items want, and grant what is free."""
-        self._tell(jobs, now)
-        if not self._broker.wanted:
+    def request_and_grant(self, jobs: list[HeldJob], now: float) -> None:
+        """Request slots for this instance's items, and grant free slots."""
+        self._send_requests(jobs, now)
+        if not self._broker.has_requests:
             return
         targets = {target.id: target for target in self.granted_targets()}
         grants = self._broker.grant(
@@ -107,117 +108,125 @@
             self._fleet.occupancy,
             self._clock.now(),
             now,
-            RELAYED_GRANT_S if self._mesh.large else GRANT_S,
+            RELAYED_GRANT_LIFETIME_S if self._mesh.large else GRANT_LIFETIME_S,
         )
         for grant in grants:
             if grant.instance != self._mesh.instance:
                 self._mesh.send(grant.instance, SlotGrant(grant.target))
                 continue
-            self._slots.start_at(jobs, targets[grant.target], now)
-            self._broker.used(grant.instance, grant.target)
-            self._count_answer(grant.instance, grant.service)
+            self._slots.start_item(jobs, targets[grant.target], now)
+            self._broker.record_used(grant.instance, grant.target)
+            self._count_grant(grant.instance, grant.service)
         if grants:
-            self._tell(jobs, now)
+            self._send_requests(jobs, now)
 
-    def take(self, peer: str, grant: SlotGrant, jobs: list[HeldJob]) -> None:
-        """Use a slot that a peer granted, or tell it why not."""
+    def use_grant(self, peer: str, grant: SlotGrant, jobs: list[HeldJob]) -> None:
+        """Start an item in a slot that a peer granted, or decline the grant."""
         now = asyncio.get_running_loop().time()
         target = self._fleet.targets.by_id.get(grant.target)
         usable = target is not None and self._fleet.takes_items(target.id, now)
         if target is None or not usable or self._slots.is_full(target):
             self._mesh.send(peer, SlotDecline(grant.target, full=True))
             return
-        self._count_answer(peer, target.service)
-        if not self._slots.start_at(jobs, target, now):
-            self._asked_by_granter.get(peer, {}).pop(target.service, None)
+        self._count_grant(peer, target.service)
+        if not self._slots.start_item(jobs, target, now):
+            self._requests_by_granter.get(peer, {}).pop(target.service, None)
             self._mesh.send(peer, SlotDecline(grant.target))
 
-    # What this instance wants.
+    # Requests of this instance.
 
-    def _tell(self, jobs: list[HeldJob], now: float) -> None:
-        wants = self._slots.wants(jobs, now)
+    def _send_requests(self, jobs: list[HeldJob], now: float) -> None:
+        requests = self._slots.slot_requests(jobs, now)
         if self._mesh.large:
-            self._ask(wants, now)
+            self._split_requests(requests, now)
             return
-        self._broker.wants(self._mesh.instance, wants)
-        if not wants and not self._told_wants:
+        self._broker.set_requests(self._mesh.instance, requests)
+        if not requests and not self._sent_requests:
             return
-        again = now >= self._tell_again_at
-        if again or wants != self._told_wants:
-            self._mesh.send_all(_message(wants))
-        if again:
-            self._tell_again_at = now + TELL_AGAIN_S
-        self._told_wants = _copy(wants)
-
-    def _ask(self, wants: Wants, now: float) -> None:
-        """Split the wants between granters, unless those asked already will do."""
-        if not wants and not self._asked_by_granter:
+        resend = now >= self._resend_at
+        if resend or requests != self._sent_requests:
+            self._mesh.send_all(_message(requests))
+        if resend:
+            self._resend_at = now + RESEND_INTERVAL_S
+        self._sent_requests = _copy(requests)
+
+    def _split_requests(self, requests: RequestsByService, now: float) -> None:
+        """Split the requests between granters, unless as many are pending already."""
+        if not requests and not self._requests_by_granter:
             return
-        elsewhere = now >= self._ask_elsewhere_at
-        if not elsewhere and self._is_asked(wants):
+        timed_out = now >= self._split_again_at
+        if not timed_out and self._are_requested(requests):
             return
-        again = now >= self._tell_again_at
-        if again:
-            self._tell_again_at = now + TELL_AGAIN_S
-        self._ask_elsewhere_at = now + ASK_ELSEWHERE_S
-        before = self._asked_by_granter
-        asks = self._asks(wants, now)
-        for granter in before.keys() | asks.keys():
-            ask = asks.get(granter, {})
-            if not again and ask == before.get(granter):
+        resend = now >= self._resend_at
+        if resend:
+            self._resend_at = now + RESEND_INTERVAL_S
+        self._split_again_at = now + UNGRANTED_TIMEOUT_S
+        before = self._requests_by_granter
+        requests_by_granter = self._requests_to_granters(requests, now)
+        for granter in before.keys() | requests_by_granter.keys():
+            requested = requests_by_granter.get(granter, {})
+            if not resend and requested == before.get(granter):
                 continue
             if granter == self._mesh.instance:
-                self._broker.wants(granter, _copy(ask))
+                self._broker.set_requests(granter, _copy(requested))
             else:
-                self._mesh.send(granter, _message(ask))
-        self._asked_by_granter = asks
-
-    def _is_asked(self, wants: Wants) -> bool:
-        """Whether as much is asked for as is wanted."""
-        asked: dict[str, int] = dict.fromkeys(wants, 0)
-        for ask in self._asked_by_granter.values():
-            for service, want in ask.items():
-                asked[service] = asked.get(service, 0) + want.count
+                self._mesh.send(granter, _message(requested))
+        self._requests_by_granter = requests_by_granter
+
+    def _are_requested(self, requests: RequestsByService) -> bool:
+        """Whether as many slots are requested from granters as are wanted."""
+        count_by_service: dict[str, int] = dict.fromkeys(requests, 0)
+        for pending in self._requests_by_granter.values():
+            for service, request in pending.items():
+                count_by_service[service] = (
+                    count_by_service.get(service, 0) + request.count
+                )
         return all(
-            count == (wants[service].count if service in wants else 0)
-            for service, count in asked.items()
+            count == (requests[service].count if service in requests else 0)
+            for service, count in count_by_service.items()
         )
 
-    def _asks(self, wants: Wants, now: float) -> dict[str, Wants]:
-        asks: dict[str, Wants] = {}
-        for service, want in wants.items():
-            openings = self._openings(service, now)
-            for granter, count in split(want.count, openings, self._chance).items():
-                asks.setdefault(granter, {})[service] = Want(count, want.due)
-        return asks
-
-    def _openings(self, service: str, now: float) -> list[Opening]:
-        granters = self._broker.granters(*self._granter_inputs())
-        openings: list[Opening] = []
+    def _requests_to_granters(
+        self, requests: RequestsByService, now: float
+    ) -> dict[str, RequestsByService]:
+        requests_by_granter: dict[str, RequestsByService] = {}
+        for service, request in requests.items():
+            capacities = self._capacities(service, now)
+            for granter, count in split_requests(
+                request.count, capacities, self._chance
+            ).items():
+                requests_by_granter.setdefault(granter, {})[service] = SlotRequest(
+                    count, request.due
+                )
+        return requests_by_granter
+
+    def _capacities(self, service: str, now: float) -> list[TargetCapacity]:
+        granters = self._broker.granter_by_target(*self._granter_inputs())
+        capacities: list[TargetCapacity] = []
         for target in self._fleet.targets.of_service(service):
             granter = granters[target.id]
             if granter is None or not self._fleet.takes_items(target.id, now):
                 continue
             count = self._fleet.occupancy.at(target.id)
-            free = target.slots - count.total - spare_slots(target, count)
+            free = target.slots - count.total - reserved_slots(target, count)
             near = target.availability_zone == self._mesh.zone
-            openings.append(Opening(granter, free, near))
-        return openings
+            capacities.append(TargetCapacity(granter, free, near))
+        return capacities
 
-    def _count_answer(self, granter: str, service: str) -> None:
-        """Count a grant off what was asked, as its granter does."""
-        want = self._asked_by_granter.get(granter, {}).get(service)
-        if want is not None:
-            want.count -= 1
+    def _count_grant(self, granter: str, service: str) -> None:
+        """Subtract a grant from the pending requests, as its granter does."""
+        request = self._requests_by_granter.get(granter, {}).get(service)
+        if request is not None:
+            request.count -= 1
 
-    # What others want.
+    # Requests of peers.
 
     def _granter_inputs(self) -> tuple[Members, Iterable[Target], int]:
-        """Return what decides who grants: members, targets and their changes."""
+        """Return what determines the granters: members, targets and their changes."""
         listed = self._fleet.targets
-        return self._who_may_grant(), listed.by_id.values(), listed.changes
+        return self._current_members(), listed.by_id.values(), listed.changes
 
-    def _who_may_grant(self) -> Members:
+    def _current_members(self) -> Members:
         if self._members_key != self._mesh.changes:
             self._members_key = self._mesh.changes
             by_zone = {self._mesh.zone: [self._mesh.instance]}
@@ -227,31 +236,36 @@
             self._members = Members(by_zone)
         return self._members
 
-    def _peer_wants(self, peer: str, news: SlotWants) -> None:
-        wants = {service: Want(count, due) for service, count, due in news.wants}
-        self._broker.wants(peer, wants)
-        self._news()
+    def _handle_requests(self, peer: str, message: SlotWants) -> None:
+        requests = {
+            service: SlotRequest(count, due) for service, count, due in message.wants
+        }
+        self._broker.set_requests(peer, requests)
+        self._updated()
 
-    def _declined(self, peer: str, decline: SlotDecline) -> None:
+    def _handle_decline(self, peer: str, decline: SlotDecline) -> None:
         if decline.full:
-            # It knows of requests or refusals that this instance does not. The target
-            # is left alone for a while, so that the item gets a slot elsewhere.
+            # The peer knows of requests or refusals that this instance does not. The
+            # target is not granted from for a while: the item gets a slot elsewhere.
             now = asyncio.get_running_loop().time()
-            self._broker.declined_as_full(peer, decline.target, now)
+            self._broker.record_full(peer, decline.target, now)
         else:
-            self._broker.declined(peer, decline.target)
-        self._news()
+            self._broker.record_declined(peer, decline.target)
+        self._updated()
 
-    def _forget(self, instance: str) -> None:
-        self._broker.forget(instance)
-        self._asked_by_granter.pop(instance, None)
+    def _remove_instance(self, instance: str) -> None:
+        self._broker.remove_instance(instance)
+        self._requests_by_granter.pop(instance, None)
 
 
-def _message(wants: Wants) -> SlotWants:
-    told = [[name, want.count, want.due] for name, want in wants.items()]
-    return SlotWants([one for one in told if one[1] > 0])
+def _message(requests: RequestsByService) -> SlotWants:
+    rows = [[name, request.count, request.due] for name, request in requests.items()]
+    return SlotWants([row for row in rows if row[1] > 0])
 
 
-def _copy(wants: Wants) -> Wants:
-    """Return wants whose counts may change apart from those given."""
-    return {name: Want(want.count, want.due) for name, want in wants.items()}
+def _copy(requests: RequestsByService) -> RequestsByService:
+    """Return a copy, so that counts of either can change independently."""
+    return {
+        name: SlotRequest(request.count, request.due)
+        for name, request in requests.items()
+    }
--- a/src/caperridge/gateway/jobs/held_job.py
+++ b/src/caperridge/gateway/jobs/held_job.py
@@ -1,4 +1,4 @@
-"""A job that this instance works on: its items, what runs, and what is to be kept."""
+"""In-memory state of a held job: its items, their runs, and unwritten results."""
 
 import asyncio
 from typing import Any
@@ -17,7 +17,7 @@
 
 PENDING = "pending"
 RUNNING = "running"
-DONE = "done"  # its result is not in the store yet
+DONE = "done"  # the result is not in the store yet
 LISTED = "listed"
 
 
@@ -25,29 +25,30 @@
     """One item of a held job.
 
     Attributes:
-        number: its place in the job.
+        number: position in the job.
         item: as the caller sent it.
         status: ``PENDING``, ``RUNNING``, ``DONE`` or ``LISTED``.
-        progress: what is known of its output.
-        kept_event: last event of it that is in the store.
-        not_before: when it may start again, on the loop's clock.
-        started_at: when its first run began, on the loop's clock; 0 if it has not begun
-            or has begun elsewhere.
+        progress: output so far.
+        stored_event: number of the last event in the store.
+        stored_failures: number of failures in the store.
+        not_before: earliest next start, in seconds of the loop's clock.
+        started_at: start of the first run, in seconds of the loop's clock; 0 if it has
+            not started or has started at another instance.
         task: that runs it.
-        target: id of the target it runs at; empty if none.
-        mark: what it asks for, once that mattered.
+        target: id of the target where it runs; empty if none.
+        fingerprint: of its content and caller; computed when first needed.
     """
 
     __slots__ = (
+        "fingerprint",
         "item",
-        "kept_event",
-        "kept_failures",
-        "mark",
         "not_before",
         "number",
         "progress",
         "started_at",
         "status",
+        "stored_event",
+        "stored_failures",
         "target",
         "task",
     )
@@ -57,26 +58,26 @@
         self.item = item
         self.status = PENDING
         self.progress = ItemProgress()
-        self.kept_event = 0
-        self.kept_failures = 0
+        self.stored_event = 0
+        self.stored_failures = 0
         self.not_before = 0.0
         self.started_at = 0.0
         self.task: asyncio.Task[Any] | None = None
         self.target = ""
-        self.mark: Fingerprint | None = None
+        self.fingerprint: Fingerprint | None = None
 
     @property
     def cancelling(self) -> bool:
-        """Whether its run was cancelled and has not ended yet."""
+        """Whether its run was cancelled and has not finished yet."""
         return self.task is not None and self.task.cancelling() > 0
 
     def cancel(self) -> None:
-        """Cancel its run; what came of its output stays."""
+        """Cancel its run; the output so far is kept."""
         if self.task is not None and not self.cancelling:
             self.task.cancel()
 
-    def take(self, events: list[Event]) -> bool:
-        """Add events to its output; False if one is not the next, which is left."""
+    def append_events(self, events: list[Event]) -> bool:
+        """Append events to the output up to a gap; False if there is one."""
         number = self.progress.event
         parts = [self.progress.text] if number else []
         in_order = True
@@ -91,16 +92,16 @@
         return in_order
 
     @property
-    def has_news(self) -> bool:
-        """Whether the store lacks progress."""
+    def has_unstored_progress(self) -> bool:
+        """Whether there is progress that is not in the store."""
         return (
-            self.progress.event > self.kept_event
-            or self.progress.failures > self.kept_failures
+            self.progress.event > self.stored_event
+            or self.progress.failures > self.stored_failures
         )
 
 
 class HeldJob:
-    """The job's state at its holder.
+    """State of a job at its holder.
 
     Attributes:
         entry: from the index.
@@ -108,8 +109,9 @@
         version: of the head's row.
         states: of the items, in the job's order.
         unlisted: results that are not in the store yet, oldest first.
-        lost: another instance holds it now, or it was cancelled.
-        wake: set when something is to be kept.
+        lost: whether another instance holds it now, or it was cancelled.
+        releasing: whether it is being handed over.
+        wake: set when something has to be written.
     """
 
     def __init__(
@@ -135,32 +137,32 @@
 
     @property
     def finished(self) -> bool:
-        """All results are in the store, or no more will come."""
+        """Whether all results are in the store, or no more will be written."""
         return self.lost or self.head.finished
 
     def restore_progress(self, number: int, progress: ItemProgress) -> None:
-        """Take what an earlier holder kept of an item."""
+        """Restore the progress of an item that an earlier holder stored."""
         if number >= len(self.states):
             return
         state = self.states[number]
         state.progress = progress
-        state.kept_event = progress.event
-        state.kept_failures = progress.failures
+        state.stored_event = progress.event
+        state.stored_failures = progress.failures
 
     def restore_results(self, results: list[ItemResult]) -> None:
-        """Take the results that are listed."""
+        """Mark the items of stored results as listed."""
         listed = {result.item for result in results}
         for state in self.states:
             if state.item.id in listed:
                 state.status = LISTED
 
     def complete(self, state: ItemState) -> None:
-        """Take an item's whole output."""
+        """Finish an item whose output is complete."""
         result = ItemResult(state.item.id, COMPLETED, state.progress.text)
         self._finish(state, result)
 
-    def bury(self, state: ItemState) -> None:
-        """Take note that an item can never be done."""
+    def mark_dead(self, state: ItemState) -> None:
+        """Finish an item that can never complete."""
         self._finish(state, ItemResult(state.item.id, DEAD))
 
     def _finish(self, state: ItemState, result: ItemResult) -> None:
@@ -181,10 +183,10 @@
         ]
 
     def running(self) -> list[ItemState]:
-        """Return the items that run."""
+        """Return the running items."""
         return [state for state in self.states if state.status == RUNNING]
 
-    def stop_runs(self) -> None:
-        """Cancel what runs; their progress stays."""
+    def cancel_runs(self) -> None:
+        """Cancel all runs; the output so far is kept."""
         for state in self.running():
             state.cancel()
--- a/src/caperridge/gateway/jobs/holders.py
+++ b/src/caperridge/gateway/jobs/holders.py
@@ -1,8 +1,8 @@
-"""Who holds each job, as far as is known, and when another may take it over.
+"""Failure detection for leases of jobs: who holds each job, and when it is replaced.
 
-A holder that is not heard from may be cut off rather than gone; its own next write of
-progress would be lost work for both. So it is replaced only when it has not been heard
-for a while, counted anew for each holder, or when its life is over.
+A silent holder may be partitioned rather than lost; a takeover would then waste the
+work of both. So a holder is replaced only after a period of silence, which starts anew
+for each holder, or once a later incarnation of its instance is known.
 """
 
 from typing import Protocol
@@ -11,20 +11,20 @@
 from caperridge.records import Record
 
 TAKEOVER_AFTER_S = 1.6
-# Who does not know the holder of a job reads of it after this: a fresh instance hears
-# its peers by then.
-LOOK_AFTER_S = 0.5
+# An instance that does not know the holder of a job reads the head after this time; a
+# new instance has received messages of its peers by then.
+UNKNOWN_HOLDER_DELAY_S = 0.5
 
 
 class Peers(lives.Peers, Protocol):
-    """What of the mesh is asked here."""
+    """The part of the mesh that is used here."""
 
     def incarnation_alive(self, incarnation: str) -> bool:
-        """Whether this life of an instance is the own one or is heard from."""
+        """Whether this incarnation is the own one or one that sends heartbeats."""
 
 
-class Unheard(Record):
-    """Since when a job's ``holder`` is not heard; None stands for whoever it is."""
+class SilentHolder(Record):
+    """A silent ``holder`` of a job, None if unknown, and the start of its silence."""
 
     __slots__ = ("holder", "since")
 
@@ -34,69 +34,69 @@
 
 
 class Holders:
-    """What is known of the holders of jobs.
+    """Known holders of jobs, with the silence of each.
 
     Args:
-        peers: who is heard from.
+        peers: live instances.
     """
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
         self._holder_by_id: dict[str, str] = {}
-        self._unheard_by_id: dict[str, Unheard] = {}
+        self._silent_holder_by_id: dict[str, SilentHolder] = {}
 
-    def note(self, id: str, holder: str) -> None:
-        """Take somebody's word that ``holder`` has a job; empty if it was given up."""
+    def record_reported(self, id: str, holder: str) -> None:
+        """Record the holder that a peer reported; empty if the job was released."""
         self._holder_by_id[id] = holder
 
-    def read(self, id: str, holder: str) -> None:
-        """Note what the store says of the holder."""
+    def record_stored(self, id: str, holder: str) -> None:
+        """Record the holder that was read from the store."""
         self._holder_by_id[id] = holder
-        unheard = self._unheard_by_id.get(id)
-        if unheard is not None and unheard.holder is None:
-            # Whoever it was, it has not been heard since then.
-            unheard.holder = holder
+        silent = self._silent_holder_by_id.get(id)
+        if silent is not None and silent.holder is None:
+            # The silence was counted while the holder was unknown.
+            silent.holder = holder
 
     def is_own(self, id: str) -> bool:
-        """Whether this instance holds a job as far as it knows."""
+        """Whether this instance is the last known holder of a job."""
         return self._holder_by_id.get(id) == self._peers.incarnation
 
-    def forget(self, id: str) -> None:
-        """Drop what is known of a job."""
+    def remove(self, id: str) -> None:
+        """Remove a job."""
         self._holder_by_id.pop(id, None)
-        self._unheard_by_id.pop(id, None)
+        self._silent_holder_by_id.pop(id, None)
 
-    def needs_no_other(self, id: str) -> None:
-        """Note that a job is held here or has ended."""
-        self._unheard_by_id.pop(id, None)
+    def clear_silence(self, id: str) -> None:
+        """Reset the silence of a job that is held here or finished."""
+        self._silent_holder_by_id.pop(id, None)
 
-    def count_anew(self) -> None:
-        """Drop since when holders are not heard: this instance heard nobody."""
-        self._unheard_by_id.clear()
+    def clear_all_silences(self) -> None:
+        """Reset all silences: this instance itself was partitioned."""
+        self._silent_holder_by_id.clear()
 
     def may_claim(self, id: str, now: float) -> bool:
-        """Whether it is time to try to become the holder of a job."""
+        """Whether this instance may try to become the holder of a job."""
         holder = self._holder_by_id.get(id)
         if holder is None:
-            return now - self._since(id, None, now) >= LOOK_AFTER_S
+            return now - self._silent_since(id, None, now) >= UNKNOWN_HOLDER_DELAY_S
         return self.may_replace(id, holder, now)
 
     def may_replace(self, id: str, holder: str, now: float) -> bool:
-        """Whether a job may be taken from ``holder``."""
+        """Whether a job may be claimed from ``holder``."""
         if holder in ("", self._peers.incarnation):
             return True
         if self._peers.incarnation_alive(holder):
-            self._unheard_by_id.pop(id, None)
+            self._silent_holder_by_id.pop(id, None)
             return False
-        since = self._since(id, holder, now)
+        since = self._silent_since(id, holder, now)
         if lives.is_over(self._peers, holder):
             return True
         since = max(since, lives.lost_at(self._peers, holder))
         return now - since >= TAKEOVER_AFTER_S
 
-    def _since(self, id: str, holder: str | None, now: float) -> float:
-        """Return since when ``holder`` is not heard, which may begin now."""
-        unheard = self._unheard_by_id.get(id)
-        if unheard is None or unheard.holder != holder:
-            unheard = self._unheard_by_id[id] = Unheard(holder, now)
-        return unheard.since
+    def _silent_since(self, id: str, holder: str | None, now: float) -> float:
+        """Return the start of the silence of ``holder``, which may be now."""
+        silent = self._silent_holder_by_id.get(id)
+        if silent is None or silent.holder != holder:
+            silent = self._silent_holder_by_id[id] = SilentHolder(holder, now)
+        return silent.since
--- a/src/caperridge/gateway/jobs/index.py
+++ b/src/caperridge/gateway/jobs/index.py
@@ -1,4 +1,4 @@
-"""The index of jobs as this instance knows it."""
+"""Local copy of the index of all jobs, with decoded entries."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class JobIndex:
-    """Reads the copy of the index; entries are decoded once."""
+    """Decodes the entries of the copied index, each once per change."""
 
     def __init__(self) -> None:
         self.copy = TableCopy(INDEX)
@@ -22,15 +22,15 @@
         self._removed: list[Callable[[str], None]] = []
 
     def on_change(self, call: Callable[[], None]) -> None:
-        """Have ``call`` called when entries have changed."""
+        """Register ``call`` to be called when entries have changed."""
         self._changed.append(call)
 
     def on_removed(self, call: Callable[[str], None]) -> None:
-        """Have ``call`` called with each job whose entry was removed."""
+        """Register ``call`` to be called with each job whose entry was removed."""
         self._removed.append(call)
 
     def apply_rows(self, rows: list[StoredRow]) -> None:
-        """Decode rows that were news in the copy."""
+        """Decode rows that have changed in the copy."""
         for row in rows:
             job = job_of_entry(row.key)
             if job is None:
@@ -48,7 +48,7 @@
             call()
 
     def apply_row(self, row: StoredRow) -> None:
-        """Take one row that was just written or read."""
+        """Apply one row that was just written or read, if it is newer."""
         if self.copy.take_row(row):
             self.apply_rows([row])
 
@@ -63,7 +63,7 @@
         return row.version if row is not None else ABSENT
 
     def waiting_tokens(self, route: str) -> int:
-        """Return the tokens of unfinished items on ``route``, at the most."""
+        """Return an upper bound of the tokens of unfinished items on ``route``."""
         return sum(
             entry.waiting_tokens
             for entry in self.entries_by_job.values()
--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -1,4 +1,4 @@
-"""Running items at targets: output is gathered and goes on behind its last event."""
+"""Runs of items at targets under renewable leases, resumed after the last event."""
 
 import asyncio
 import functools
@@ -43,46 +43,47 @@
 
 log = logger(__name__)
 
-# Longer than any queue an item may meet; a target that says nothing for so long has
-# most likely gone dark.
-FIRST_EVENT_S = 3.0
-EVENT_S = 1.2
-# Of an item's events only the whole output is used, and progress every 1.5 s. Events
-# come some 33 ms apart, so each run is woken 4 times a second instead of 30; what a
-# target has sent for so long is made again if its connection breaks.
-GATHER_EVENTS_S = 0.25
-AGAIN_AFTER_S = 0.05
-FAILED_AGAIN_AFTER_S = 0.3
-UNPROCESSABLE = 422
-# Of a target that hangs until the lease of a run ends; the item is not to blame.
-LEASE_ENDED = 504
-# A run holds its slot for so long; then the target ends it unless it was renewed. When
-# its holder has lost power nothing else ends it, and slots stayed taken for up to the
-# 5 s of a whole run. An instance that lost power is back after some 2 s.
+# Longer than the wait in any queue; a target that is silent for so long has most likely
+# lost power or its network.
+FIRST_EVENT_TIMEOUT_S = 3.0
+EVENT_TIMEOUT_S = 1.2
+# Only the whole output of an item is used, and its progress every 1.5 s. Events arrive
+# some 33 ms apart; batches wake each run 4 times a second instead of 30. The events of
+# one batch are generated again if the connection breaks.
+EVENT_BATCH_S = 0.25
+RETRY_DELAY_S = 0.05
+FAILED_RETRY_DELAY_S = 0.3
+UNPROCESSABLE_STATUS = 422
+# From a target that hangs until the lease of a run ends; not a failure of the item.
+LEASE_ENDED_STATUS = 504
+# The target ends a run after this time unless its lease was renewed. Nothing else ends
+# it when its holder lost power: without leases slots stayed occupied for up to the 5 s
+# of a whole run. An instance that lost power is back after some 2 s.
 LEASE_S = 2.2
-# Renewed so long after it began. A new run goes on behind the last event; it reads the
-# prompt and what was generated again, 20 to 50 ms.
-RENEW_S = 1.7
+# A lease is renewed this long after it started. The new run resumes after the last
+# event and reads the prompt and the output so far again, which takes 20 to 50 ms.
+RENEW_AFTER_S = 1.7
 
 
 class Renewal(Record):
-    """A run was ended so that the item goes on under a new lease, here or elsewhere."""
+    """A run was ended so that the item resumes under a new lease, at any target."""
 
     __slots__ = ()
 
 
 class ItemRuns:
-    """Starts and ends runs of items.
+    """Runs items at targets.
 
     Attributes:
-        may_go_on: whether the configuration lets an item go on at a target.
+        may_resume: returns whether the configuration allows an item to resume at a
+            target.
 
     Args:
-        fleet: counts and targets.
+        fleet: targets and counts.
         client: of targets.
         dialect: names of headers.
-        metrics: counted into.
-        guard: says which items may be sent.
+        metrics: of the instance.
+        guard: decides which items may be sent.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         self._client = client
         self._dialect = dialect
         self._metrics = metrics
-        self.may_go_on: Callable[[RankedItem, Target], bool] = lambda one, target: True
+        self.may_resume: Callable[[RankedItem, Target], bool] = lambda one, target: True
         self._orders_by_target: dict[str, dict[ItemState, float]] = {}
 
     @property
@@ -106,30 +107,30 @@
         """Ids of the targets at which items of this instance run."""
         return self._orders_by_target.keys()
 
-    def is_held(self, one: RankedItem) -> bool:
-        """Whether an item is kept from targets, as others ended under it."""
-        return self._guard.suspects and self._guard.is_held(self._mark(one))
+    def is_quarantined(self, ranked: RankedItem) -> bool:
+        """Whether an item is quarantined because targets crashed under it."""
+        return self._guard.suspects and self._guard.is_held(self._fingerprint(ranked))
 
-    def _mark(self, one: RankedItem) -> Fingerprint:
-        entry, item = one.job.entry, one.state.item
-        if one.state.mark is None:
+    def _fingerprint(self, ranked: RankedItem) -> Fingerprint:
+        entry, item = ranked.job.entry, ranked.state.item
+        if ranked.state.fingerprint is None:
             headers = [("Host", entry.host)]
             headers += [(name, value) for name, value in item.headers]
             changing = self._dialect.headers_of_a_try
-            one.state.mark = fingerprint(
+            ranked.state.fingerprint = fingerprint(
                 "POST", entry.host, item.path, item.body, headers, changing
             )
-        return one.state.mark
+        return ranked.state.fingerprint
 
-    def start(self, one: RankedItem, route: Route, target: Target) -> None:
+    def start(self, ranked: RankedItem, route: Route, target: Target) -> None:
         """Run an item at ``target``."""
-        job, state = one.job, one.state
+        job, state = ranked.job, ranked.state
         state.status = RUNNING
         state.target = target.id
         if not state.progress.event and not state.started_at:
             state.started_at = asyncio.get_running_loop().time()
-        self._orders_by_target.setdefault(target.id, {})[state] = one.order
-        self._count(target.id, 1)
+        self._orders_by_target.setdefault(target.id, {})[state] = ranked.order
+        self._update_occupancy(target.id, 1)
         self._fleet.changed()
         lengths = self._fleet.lengths(target.service)
         log.info(
@@ -138,76 +139,82 @@
             item=state.item.id,
             target=target.id,
             after_event=state.progress.event,
-            due_s=round(one.due, 2),
-            late=one.late,
+            due_s=round(ranked.due, 2),
+            late=ranked.late,
             left_s=round(lengths.left_s(state.item.tokens, state.progress.event), 2),
             stretch=round(lengths.stretch, 2),
         )
-        attempt = self._attempt(one, target)
+        attempt = self._attempt(ranked, target)
         state.task = asyncio.get_running_loop().create_task(attempt)
-        # A task that is cancelled before its first step runs nothing of its own.
+        # A callback, because a task cancelled before its first step runs none of its
+        # own code.
         state.task.add_done_callback(
-            functools.partial(self._run_ended, one, route, target, state.progress.event)
+            functools.partial(
+                self._run_done, ranked, route, target, state.progress.event
+            )
         )
 
-    def ordered_by(self, state: ItemState, order: float) -> None:
-        """Note by when a running item is ordered from now on."""
+    def update_order(self, state: ItemState, order: float) -> None:
+        """Change the effective due time of a running item."""
         orders = self._orders_by_target.get(state.target, {})
         if orders.get(state, order) != order:
             orders[state] = order
-            self._count(state.target, 0)
+            self._update_occupancy(state.target, 0)
 
-    def _count(self, target: str, items: int) -> None:
-        """Change the number of items at ``target``, and tell what is due last there."""
+    def _update_occupancy(self, target: str, items: int) -> None:
+        """Add to the items at ``target``, and update the latest due time there."""
         orders = self._orders_by_target[target]
         self._fleet.occupancy.add(target, items=items)
         self._fleet.occupancy.items_due(target, max(orders.values(), default=0.0))
         if not orders:
             del self._orders_by_target[target]
 
-    def _run_ended(
+    def _run_done(
         self,
-        one: RankedItem,
+        ranked: RankedItem,
         route: Route,
         target: Target,
         from_event: int,
         task: "asyncio.Task[AttemptError | HeldBack | Renewal | None]",
     ) -> None:
-        state = one.state
+        state = ranked.state
         del self._orders_by_target[target.id][state]
-        self._count(target.id, -1)
+        self._update_occupancy(target.id, -1)
         state.target = ""
         state.task = None
         if state.status == RUNNING:
             state.status = PENDING
         error: AttemptError | None = None
-        moves = task.cancelled()
+        resumes = task.cancelled()
         if not task.cancelled():
-            failed = task.exception()
-            outcome = Lost(repr(failed)) if failed is not None else task.result()
-            moves = isinstance(outcome, Renewal | HeldBack)
-            error = None if moves else outcome
-        self._settle(one, route, target, error, moves, from_event)
+            exception = task.exception()
+            outcome = Lost(repr(exception)) if exception is not None else task.result()
+            resumes = isinstance(outcome, Renewal | HeldBack)
+            error = None if resumes else outcome
+        self._record_outcome(ranked, route, target, error, resumes, from_event)
         self._fleet.changed()
 
-    def _settle(
+    def _record_outcome(
         self,
-        one: RankedItem,
+        ranked: RankedItem,
         route: Route,
         target: Target,
         error: AttemptError | None,
-        moves: bool,
+        resumes: bool,
         from_event: int,
     ) -> None:
-        """Take note of how a run ended; ``moves`` if the item goes on later."""
-        job, state = one.job, one.state
+        """Record how a run ended; ``resumes`` if the item continues later."""
+        job, state = ranked.job, ranked.state
         now = asyncio.get_running_loop().time()
-        outcome = _outcome(error, moves)
+        outcome = _outcome_label(error, resumes)
         self._metrics.items.labels(outcome).inc()
-        asked = {}
+        suspect_fields = {}
         if isinstance(error, Lost):
-            mark = self._mark(one)
-            asked = {"content": mark.content, "caller": mark.caller}
+            run_fingerprint = self._fingerprint(ranked)
+            suspect_fields = {
+                "content": run_fingerprint.content,
+                "caller": run_fingerprint.caller,
+            }
         log.info(
             "item run ended",
             job=job.entry.id,
@@ -218,22 +225,22 @@
             from_event=from_event,
             event=state.progress.event,
             failures=state.progress.failures,
-            **asked,
+            **suspect_fields,
         )
-        if moves or state.status in (DONE, LISTED):
+        if resumes or state.status in (DONE, LISTED):
             return
         if error is None:
             self._fleet.succeeded(target.id, now)
-            self._guard.ran_well(self._mark(one))
+            self._guard.ran_well(self._fingerprint(ranked))
             since_s = now - state.started_at if state.started_at else 0.0
             self._fleet.lengths(target.service).ended(
                 state.item.tokens, state.progress.event, since_s
             )
             job.complete(state)
             return
-        self._start_after(state, AGAIN_AFTER_S)
+        self._delay_start(state, RETRY_DELAY_S)
         if isinstance(error, TargetRefused) and _is_failure(error):
-            self._failed(job, state, route, error.status)
+            self._record_failure(job, state, route, error.status)
             return
         if isinstance(error, TargetRefused) and error.replaced:
             self._fleet.replaced(target.id, now)
@@ -242,100 +249,106 @@
         else:
             self._fleet.failed(target, error, now)
 
-    def _failed(
+    def _record_failure(
         self,
         job: HeldJob,
         state: ItemState,
         route: Route,
         status: int,
     ) -> None:
-        """Count an attempt that the target says failed."""
+        """Count an attempt that the target reported as failed."""
         failures = state.progress.failures + 1
         state.progress = ItemProgress(
             state.progress.event, state.progress.text, failures
         )
-        self._start_after(state, FAILED_AGAIN_AFTER_S)
-        if status == UNPROCESSABLE or failures >= route.most_attempts:
-            job.bury(state)
+        self._delay_start(state, FAILED_RETRY_DELAY_S)
+        if status == UNPROCESSABLE_STATUS or failures >= route.most_attempts:
+            job.mark_dead(state)
 
-    def _start_after(self, state: ItemState, pause_s: float) -> None:
+    def _delay_start(self, state: ItemState, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
-        state.not_before = loop.time() + pause_s
+        state.not_before = loop.time() + delay_s
         loop.call_at(state.not_before, self._fleet.changed)
 
     async def _attempt(
-        self, one: RankedItem, target: Target
+        self, ranked: RankedItem, target: Target
     ) -> AttemptError | HeldBack | Renewal | None:
-        """Run the item at one target; None if its output is whole."""
+        """Run the item at one target; None if its output is complete."""
         if self._guard.suspects:
-            held = await self._guard.admit(self._mark(one), one.state.item.id)
-            if held is not None:
-                self._start_after(one.state, held.retry_after_s)
-                return held
+            refused = await self._guard.admit(
+                self._fingerprint(ranked), ranked.state.item.id
+            )
+            if refused is not None:
+                self._delay_start(ranked.state, refused.retry_after_s)
+                return refused
         while True:
-            outcome = await self._leased(one, target)
+            outcome = await self._run_one_lease(ranked, target)
             if not isinstance(outcome, Renewal):
                 return outcome
             now = asyncio.get_running_loop().time()
             usable = self._fleet.is_usable(target.id, now)
-            if not usable or not self.may_go_on(one, target):
-                return outcome  # a new run would be new work there
-            event = one.state.progress.event
-            log.info("lease renewed", item=one.state.item.id, event=event)
+            if not usable or not self.may_resume(ranked, target):
+                return outcome  # a new run there would be new work
+            event = ranked.state.progress.event
+            log.info("lease renewed", item=ranked.state.item.id, event=event)
 
-    async def _leased(
-        self, one: RankedItem, target: Target
+    async def _run_one_lease(
+        self, ranked: RankedItem, target: Target
     ) -> AttemptError | Renewal | None:
-        """Run the item until its output is whole or its lease has to be renewed."""
-        job, state = one.job, one.state
+        """Run the item until its output is complete or its lease has to be renewed."""
+        job, state = ranked.job, ranked.state
         loop = asyncio.get_running_loop()
-        began, from_event = loop.time(), state.progress.event
+        started_at, from_event = loop.time(), state.progress.event
         outbound = self._outbound(job, state, target)
-        opened = await self._client.open(target, outbound, FIRST_EVENT_S)
+        opened = await self._client.open(target, outbound, FIRST_EVENT_TIMEOUT_S)
         if isinstance(opened, Err):
-            self._lost(one, target, opened.err_value, began, from_event)
+            self._report_lost(ranked, target, opened.err_value, started_at, from_event)
             return opened.err_value
         answer = opened.ok_value
         try:
             if answer.status != 200:
                 return TargetRefused(answer.status, "it failed", "ran")
-            outcome = await self._gather(state, answer, began + RENEW_S)
-            self._lost(one, target, outcome, began, from_event)
+            outcome = await self._collect_output(
+                state, answer, started_at + RENEW_AFTER_S
+            )
+            self._report_lost(ranked, target, outcome, started_at, from_event)
             return outcome
         finally:
             answer.close()
             self._fleet.lengths(target.service).ran(
-                state.progress.event - from_event, loop.time() - began
+                state.progress.event - from_event, loop.time() - started_at
             )
 
-    def _lost(
+    def _report_lost(
         self,
-        one: RankedItem,
+        ranked: RankedItem,
         target: Target,
         outcome: AttemptError | Renewal | None,
-        began: float,
+        started_at: float,
         from_event: int,
     ) -> None:
-        """Tell of a run whose answer broke off: its target may have ended."""
+        """Report a run whose answer broke off: its target may have crashed."""
         if isinstance(outcome, Lost):
-            age_s = asyncio.get_running_loop().time() - began
-            events = one.state.progress.event - from_event
-            self._guard.lost(target, self._mark(one), age_s, events)
+            age_s = asyncio.get_running_loop().time() - started_at
+            events = ranked.state.progress.event - from_event
+            self._guard.lost(target, self._fingerprint(ranked), age_s, events)
 
-    async def _gather(
+    async def _collect_output(
         self, state: ItemState, answer: Answer, renew_at: float
     ) -> AttemptError | Renewal | None:
         loop = asyncio.get_running_loop()
         try:
-            async for events in answer.events(FIRST_EVENT_S, EVENT_S, GATHER_EVENTS_S):
-                if not state.take(events):
+            async for events in answer.events(
+                FIRST_EVENT_TIMEOUT_S, EVENT_TIMEOUT_S, EVENT_BATCH_S
+            ):
+                if not state.append_events(events):
                     return WrongAnswer("an event out of order")
                 if events and loop.time() >= renew_at and not answer.at_end:
                     return Renewal()
         except BrokenAnswerError as error:
             return Lost(str(error))
         except asyncio.CancelledError:
-            state.take(answer.rest())
+            state.append_events(answer.rest())
             raise
         return None if state.progress.event else Lost("it ended before an event")
 
@@ -357,12 +370,12 @@
 
 
 def _is_failure(error: TargetRefused) -> bool:
-    """Whether the target ran the item and says that it failed."""
-    return error.run != NOT_RUN and error.status != LEASE_ENDED
+    """Whether the target ran the item and reported that it failed."""
+    return error.run != NOT_RUN and error.status != LEASE_ENDED_STATUS
 
 
-def _outcome(error: AttemptError | None, moves: bool) -> str:
-    if moves:
+def _outcome_label(error: AttemptError | None, resumes: bool) -> str:
+    if resumes:
         return "cancelled"
     if error is None:
         return "completed"
--- a/src/caperridge/gateway/jobs/keeper.py
+++ b/src/caperridge/gateway/jobs/keeper.py
@@ -1,8 +1,8 @@
-"""Holding jobs: taking them, running their items in free slots, and handing them on.
+"""Leases of jobs: claiming jobs, running their items, and handing jobs over.
 
-A job is held by the instance that accepted it. When that one is gone, the live
-instances agree by hashing on who takes it over, and the claim is conditional on the
-head as it was read: two that both try end with one holder.
+The instance that accepted a job holds it. When that instance is lost, rendezvous
+hashing over the live instances chooses one that takes the job over. The claim is
+conditional on the head as it was read, so of two that both try only one holds the job.
 """
 
 import asyncio
@@ -13,13 +13,13 @@
 
 from caperridge.decisions.rendezvous import owner
 from caperridge.gateway.configuration import ConfigurationInForce
-from caperridge.gateway.jobs.claims import Ended, HeldBy, JobClaimer, Unclaimed
+from caperridge.gateway.jobs.claims import ClaimFailed, HeldBy, JobClaimer, JobFinished
 from caperridge.gateway.jobs.codec import to_bytes
 from caperridge.gateway.jobs.granting import SlotGranting
 from caperridge.gateway.jobs.held_job import HeldJob
 from caperridge.gateway.jobs.holders import Holders
 from caperridge.gateway.jobs.index import JobIndex
-from caperridge.gateway.jobs.keeping import PROGRESS_S, JobWriter
+from caperridge.gateway.jobs.keeping import PROGRESS_INTERVAL_S, JobWriter
 from caperridge.gateway.jobs.keys import entry_key
 from caperridge.gateway.jobs.model import JobEntry, JobHead, JobItem
 from caperridge.gateway.jobs.slots import ItemSlots
@@ -32,20 +32,20 @@
 log = logger(__name__)
 
 ORPHAN_CHECK_INTERVAL_S = 0.3
-# The slack of an index entry's tokens: it is rewritten at once only when its route
-# is this full.
-CROWDED_SHARE = 0.25
-STORE_PAUSE_S = 0.3
-# Changes that come together are looked at together; an online request waits so long
-# for an item to give way.
-GATHER_S = 0.001
-# Between looks at what may start. In a large fleet 200 counts a second are heard, few
-# of which let an item start, and an item runs for some 5 s.
-LOOK_S = 0.05
+# Entries in the index are rewritten with fewer waiting tokens only while the route is
+# filled to this ratio of its limit.
+REWRITE_THRESHOLD_RATIO = 0.25
+STORE_RETRY_DELAY_S = 0.3
+# Changes within this time share one check; it delays the preemption of an item for an
+# online request.
+COALESCE_S = 0.001
+# In a large fleet 200 counts a second are received, few of which let an item start, and
+# an item runs for some 5 s.
+MIN_CHECK_INTERVAL_S = 0.05
 
 
 class JobKeeper:
-    """Holds jobs for one instance."""
+    """Holds the jobs of one instance."""
 
     def __init__(
         self,
@@ -72,203 +72,204 @@
         self.listed_by_id: dict[str, int] = {}
         self.leaving = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._claiming: set[str] = set()
+        self._claiming_ids: set[str] = set()
         self._holders = Holders(mesh)
         self._retry_at_by_id: dict[str, float] = {}
-        self._look_at = 0.0
-        self._look_timer: asyncio.TimerHandle | None = None
-        self._give_way_timer: asyncio.TimerHandle | None = None
+        self._next_check_at = 0.0
+        self._check_timer: asyncio.TimerHandle | None = None
+        self._preempt_timer: asyncio.TimerHandle | None = None
         self._stopped = False
-        self._news: dict[str, asyncio.Event] = {}
-        index.on_removed(self._forget)
-        mesh.register(JobNews, self._told)
-        mesh.register(SlotGrant, self._granted)
-        granting.on_news(self.schedule_check)
+        self._result_event_by_id: dict[str, asyncio.Event] = {}
+        index.on_removed(self._remove_job)
+        mesh.register(JobNews, self._handle_update)
+        mesh.register(SlotGrant, self._handle_grant)
+        granting.on_update(self.schedule_check)
 
-    # What the edge asks.
+    # Calls of the edge.
 
-    def accepted(self, entry: JobEntry, items: list[JobItem]) -> None:
-        """Hold a job that this instance just accepted."""
-        if entry.id not in self.held_by_id and entry.id not in self._claiming:
+    def job_accepted(self, entry: JobEntry, items: list[JobItem]) -> None:
+        """Claim a job that this instance just accepted."""
+        if entry.id not in self.held_by_id and entry.id not in self._claiming_ids:
             self._spawn(self._claim(entry, items))
 
-    def cancelled(self, job: str) -> None:
-        """Stop a job whose cancellation is in the store."""
+    def job_cancelled(self, job: str) -> None:
+        """Stop a job whose cancellation is in the store, and notify peers."""
         self._mesh.send_all(JobNews(job, "", 0, cancelled=True))
-        self._end_cancelled(job)
+        self._stop_cancelled(job)
 
-    def wait_for(self, job: str) -> asyncio.Event:
+    def next_result_event(self, job: str) -> asyncio.Event:
         """Return an event that is set when the job's next result is listed."""
-        return self._news.setdefault(job, asyncio.Event())
+        return self._result_event_by_id.setdefault(job, asyncio.Event())
 
     def held_jobs(self) -> list[HeldJob]:
-        """Return the jobs that are held here."""
+        """Return the jobs that this instance holds."""
         return list(self.held_by_id.values())
 
     def schedule_check(self) -> None:
-        """Look soon at what may start; once for all that happens until then."""
-        if self._look_timer is not None or self._stopped:
+        """Schedule one check for all changes until then, unless one is scheduled."""
+        if self._check_timer is not None or self._stopped:
             return
         loop = asyncio.get_running_loop()
-        at = max(self._look_at, loop.time() + GATHER_S)
-        self._look_timer = loop.call_at(at, self._look)
+        at = max(self._next_check_at, loop.time() + COALESCE_S)
+        self._check_timer = loop.call_at(at, self._check)
 
     def fleet_changed(self) -> None:
-        """Look soon if counts or targets matter here: to own items or to grants."""
-        if self._look_timer is not None:
+        """Schedule a check if counts or targets matter to held jobs or to grants."""
+        if self._check_timer is not None:
             return
         if self.held_by_id or self._granting.has_requests:
             self.schedule_check()
 
     def check_slots(self, target: str) -> None:
-        """Have own items at ``target`` give way at once if it has too many runs."""
-        if self._give_way_timer is not None or self._stopped:
+        """Preempt own items at ``target`` at once if it has more runs than slots."""
+        if self._preempt_timer is not None or self._stopped:
             return
-        if self._slots.exceeded(target):
+        if self._slots.is_over_capacity(target):
             loop = asyncio.get_running_loop()
-            self._give_way_timer = loop.call_later(GATHER_S, self._give_way)
+            self._preempt_timer = loop.call_later(COALESCE_S, self._preempt_excess)
 
-    def _give_way(self) -> None:
-        self._give_way_timer = None
-        self._slots.give_way(self.held_jobs())
+    def _preempt_excess(self) -> None:
+        self._preempt_timer = None
+        self._slots.preempt_excess(self.held_jobs())
 
-    def _look(self) -> None:
-        """Give way to online requests, ask for slots, and grant those that are free."""
-        self._look_timer = None
+    def _check(self) -> None:
+        """Preempt items for online requests, request slots, and grant free slots."""
+        self._check_timer = None
         now = asyncio.get_running_loop().time()
-        self._look_at = now + LOOK_S
+        self._next_check_at = now + MIN_CHECK_INTERVAL_S
         jobs = self.held_jobs()
-        self._slots.give_way(jobs)
+        self._slots.preempt_excess(jobs)
         if not self.leaving:
-            self._granting.step(jobs, now)
+            self._granting.request_and_grant(jobs, now)
 
     # The tasks.
 
     async def run(self) -> None:
-        """Claim orphans, and look now and then without being poked."""
+        """Claim orphaned jobs and check periodically, until cancelled."""
         loop = asyncio.get_running_loop()
         try:
             while True:
                 self._claim_orphans(loop.time())
-                self._slots.refresh_dues(self.held_jobs())
+                self._slots.refresh_ranks(self.held_jobs())
                 self.schedule_check()
                 await asyncio.sleep(ORPHAN_CHECK_INTERVAL_S)
         finally:
-            self._stop_looking()
+            self._stop_timers()
 
-    def _stop_looking(self) -> None:
+    def _stop_timers(self) -> None:
         self._stopped = True
-        for timer in (self._look_timer, self._give_way_timer):
+        for timer in (self._check_timer, self._preempt_timer):
             if timer is not None:
                 timer.cancel()
 
     async def hand_over(self) -> None:
-        """Stop all runs, keep their progress, and give the jobs up."""
+        """Stop all runs, store their progress, and release the jobs."""
         self.leaving = True
         jobs = self.held_jobs()
         for job in jobs:
             job.releasing = True
-            job.stop_runs()
+            job.cancel_runs()
             job.wake.set()
         tasks = [task for task in self._tasks if not task.done()]
         if tasks:
-            await asyncio.wait(tasks, timeout=STORE_PAUSE_S * 10)
+            await asyncio.wait(tasks, timeout=STORE_RETRY_DELAY_S * 10)
 
     # Claims.
 
     def _claim_orphans(self, now: float) -> None:
-        """Claim open jobs whose holder is gone and which fall to this instance."""
+        """Claim open jobs whose holder was lost and whose owner is this instance."""
         if self.leaving or not self._index.copy.known:
             return
-        if not self._reaches_the_store():
-            # It is cut off, and would take the jobs of all whom it does not hear; it
-            # hears them again some moments after the store.
-            self._holders.count_anew()
+        if not self._store_reachable():
+            # This instance is partitioned and would claim the jobs of all silent peers.
+            # It receives from them again some moments after it reaches the store.
+            self._holders.clear_all_silences()
             return
-        live = [m.id for m in self._mesh.alive() if not m.leaving]
+        live = [one.id for one in self._mesh.alive() if not one.leaving]
         live.append(self._mesh.instance)
         for id, entry in self._index.entries_by_job.items():
             if not entry.open or id in self.held_by_id:
-                self._holders.needs_no_other(id)
+                self._holders.clear_silence(id)
                 continue
-            if id in self._claiming or not self._holders.may_claim(id, now):
+            if id in self._claiming_ids or not self._holders.may_claim(id, now):
                 continue
             if now < self._retry_at_by_id.get(id, 0.0):
                 continue
-            # An own one: a claim of ours took effect though its answer was lost.
+            # If it is our own, a claim took effect though its answer was lost.
             if self._holders.is_own(id) or owner(id, live) == self._mesh.instance:
                 self._spawn(self._claim(entry, None))
 
-    def _reaches_the_store(self) -> bool:
-        """Whether calls of the store may succeed, here or by way of a peer."""
+    def _store_reachable(self) -> bool:
+        """Whether calls of the store may succeed, directly or relayed by a peer."""
         peers = self._mesh.alive()
         return self._reach.reached or any(peer.store_reached for peer in peers)
 
-    def _forget(self, id: str) -> None:
-        """Drop what is known of a job that was swept."""
-        self._holders.forget(id)
+    def _remove_job(self, id: str) -> None:
+        """Remove the state of a job that was swept."""
+        self._holders.remove(id)
         self.listed_by_id.pop(id, None)
-        self._news.pop(id, None)
+        self._result_event_by_id.pop(id, None)
         self._retry_at_by_id.pop(id, None)
 
     async def _claim(self, entry: JobEntry, items: list[JobItem] | None) -> None:
-        """Become the holder of a job, then keep it until it ends."""
-        self._claiming.add(entry.id)
+        """Become the holder of a job, then hold it until it is finished or lost."""
+        self._claiming_ids.add(entry.id)
         try:
-            job = await self._claimer.claim(entry, items, self._may_replace)
+            claim = await self._claimer.claim(entry, items, self._may_replace)
         finally:
-            self._claiming.discard(entry.id)
-        if isinstance(job, Ended):
-            await self._close(entry, job.head)
+            self._claiming_ids.discard(entry.id)
+        if isinstance(claim, JobFinished):
+            await self._close(entry, claim.head)
             return
-        if isinstance(job, HeldBy):
-            self._holders.read(entry.id, job.holder)
-            if self._mesh.incarnation_alive(job.holder):
-                # It may not know, if the answer to its claim was lost.
-                self._mesh.send_all(JobNews(entry.id, job.holder, 0))
+        if isinstance(claim, HeldBy):
+            self._holders.record_stored(entry.id, claim.holder)
+            if self._mesh.incarnation_alive(claim.holder):
+                # The holder may not know: the answer to its claim may have been lost.
+                self._mesh.send_all(JobNews(entry.id, claim.holder, 0))
             return
-        if isinstance(job, Unclaimed):
-            if job.maybe_ours:
-                self._holders.note(entry.id, self._mesh.incarnation)
+        if isinstance(claim, ClaimFailed):
+            if claim.may_be_ours:
+                self._holders.record_reported(entry.id, self._mesh.incarnation)
             now = asyncio.get_running_loop().time()
-            self._retry_at_by_id[entry.id] = now + STORE_PAUSE_S
+            self._retry_at_by_id[entry.id] = now + STORE_RETRY_DELAY_S
             return
-        self._told_all(job)
-        self.held_by_id[entry.id] = job
+        self._announce(claim)
+        self.held_by_id[entry.id] = claim
         self.schedule_check()
         try:
-            await self._keep(job)
+            await self._hold(claim)
         finally:
             self.held_by_id.pop(entry.id, None)
-            job.stop_runs()
+            claim.cancel_runs()
 
     def _may_replace(self, id: str, holder: str) -> bool:
-        """Whether a job may be taken from whom the store names as its holder."""
-        self._holders.read(id, holder)
+        """Whether a job may be claimed from the holder that the store names."""
+        self._holders.record_stored(id, holder)
         now = asyncio.get_running_loop().time()
         return self._holders.may_replace(id, holder, now)
 
-    # Keeping.
+    # Holding.
 
-    async def _keep(self, job: HeldJob) -> None:
-        """Write results as they come and progress now and then, until it ends."""
+    async def _hold(self, job: HeldJob) -> None:
+        """Write results as they come and progress periodically, until the job ends."""
         while not job.finished:
             try:
-                async with asyncio.timeout(PROGRESS_S):
+                async with asyncio.timeout(PROGRESS_INTERVAL_S):
                     await job.wake.wait()
             except TimeoutError:
-                if not any(state.has_news for state in job.states):
+                if not any(state.has_unstored_progress for state in job.states):
                     continue
             job.wake.clear()
-            await asyncio.sleep(0)  # let runs that were cancelled end
+            await asyncio.sleep(0)  # lets cancelled runs end
             holder = "" if job.releasing else self._mesh.incarnation
             listed_before = job.head.listed
             if not await self._writer.write(job, holder):
-                # Else it would look as if a claim of ours had taken effect unnoticed.
-                self._note(job.entry.id, job.head.holder, job.head.listed)
+                # Without this the job would look like a claim of ours whose answer was
+                # lost.
+                self._record_update(job.entry.id, job.head.holder, job.head.listed)
                 break
             if job.head.listed > listed_before or job.releasing:
-                self._told_all(job)
+                self._announce(job)
             if job.unlisted:
                 job.wake.set()
             elif job.releasing:
@@ -278,19 +279,19 @@
             await self._close(job.entry, job.head)
 
     async def _lower_tokens(self, job: HeldJob) -> None:
-        """Rewrite what waits in the index if that makes room others may need."""
+        """Lower the waiting tokens in the index if others may need the capacity."""
         table = self._configuration.table
         route = table.batch_route(job.entry.route) if table is not None else None
         if route is None or route.batch is None or job.head.finished:
             return
         limit = route.batch.most_waiting_tokens
         waiting = self._index.waiting_tokens(route.name)
-        if limit <= 0 or waiting < limit * CROWDED_SHARE:
+        if limit <= 0 or waiting < limit * REWRITE_THRESHOLD_RATIO:
             return
         await self._rewrite(job.entry.id, job.waiting_tokens, still_open=True)
 
     async def _close(self, entry: JobEntry, head: JobHead) -> None:
-        """Mark a finished job in the index, so that nobody looks at it again."""
+        """Mark a finished job as closed in the index; no instance claims it again."""
         log.info(
             "job finished",
             job=entry.id,
@@ -302,10 +303,10 @@
         while not closed:
             closed = await self._rewrite(entry.id, 0, still_open=False)
             if not closed:
-                await asyncio.sleep(STORE_PAUSE_S)
+                await asyncio.sleep(STORE_RETRY_DELAY_S)
 
     async def _rewrite(self, id: str, tokens: int, still_open: bool) -> bool:
-        """Rewrite a job's entry; True if it says so now."""
+        """Rewrite a job's entry; True if the index has it or need not."""
         entry = self._index.entries_by_job.get(id)
         if entry is None or (not entry.open and not still_open):
             return True
@@ -322,49 +323,49 @@
             self._index.apply_row(row)
         return False
 
-    # News.
+    # Messages of peers.
 
-    def _told_all(self, job: HeldJob) -> None:
+    def _announce(self, job: HeldJob) -> None:
         id = job.entry.id
         self._mesh.send_all(JobNews(id, job.head.holder, job.head.listed))
-        self._note(id, job.head.holder, job.head.listed)
+        self._record_update(id, job.head.holder, job.head.listed)
 
-    def _granted(self, peer: str, grant: SlotGrant) -> None:
+    def _handle_grant(self, peer: str, grant: SlotGrant) -> None:
         jobs = self.held_jobs()
-        self._granting.take(peer, grant, jobs)
+        self._granting.use_grant(peer, grant, jobs)
         self.schedule_check()
 
-    def _told(self, peer: str, news: JobNews) -> None:
-        if news.cancelled:
-            self._end_cancelled(news.job)
+    def _handle_update(self, peer: str, update: JobNews) -> None:
+        if update.cancelled:
+            self._stop_cancelled(update.job)
             return
-        self._note(news.job, news.holder, news.listed)
-        if news.holder == "":
+        self._record_update(update.job, update.holder, update.listed)
+        if update.holder == "":
             self.schedule_check()
 
-    def _note(self, job: str, holder: str, listed: int) -> None:
-        self._holders.note(job, holder)
+    def _record_update(self, job: str, holder: str, listed: int) -> None:
+        self._holders.record_reported(job, holder)
         if listed > self.listed_by_id.get(job, 0):
             self.listed_by_id[job] = listed
-            event = self._news.pop(job, None)
+            event = self._result_event_by_id.pop(job, None)
             if event is not None:
                 event.set()
 
-    def _end_cancelled(self, job: str) -> None:
+    def _stop_cancelled(self, job: str) -> None:
         held = self.held_by_id.get(job)
         if held is not None:
             held.lost = True
             held.head = held.head.replace(cancelled=True)
-            held.stop_runs()
+            held.cancel_runs()
             held.wake.set()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
+    def _task_done(self, task: "asyncio.Task[None]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = task.exception()
-            log.error("a job's task failed", exc_info=(type(error), error, None))
+            log.error("task of a job failed", exc_info=(type(error), error, None))
--- a/src/caperridge/gateway/jobs/keeping.py
+++ b/src/caperridge/gateway/jobs/keeping.py
@@ -1,8 +1,8 @@
-"""Keeping a held job in the store: results at their positions, and progress.
+"""Fenced writes of a held job to the store: results at their positions, and progress.
 
-Every write is one transaction on the job's own part, conditional on the head as this
-holder left it. A holder that was replaced finds out with its next write, and has
-listed nothing meanwhile.
+Every write is one transaction on the job's own partition, conditional on the head as
+this holder last wrote it. The next write of a holder that was replaced is refused, and
+it has listed nothing since.
 """
 
 import asyncio
@@ -29,18 +29,18 @@
 
 log = logger(__name__)
 
-# Between writes of progress. What came since is generated again after a loss; each
-# write costs a call and the bytes of all running texts.
-PROGRESS_S = 1.5
-PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
-# The store takes 100 entries and 1 MB in one transaction; base64 adds a third.
-MOST_ENTRIES = 90
-MOST_BYTES = 600_000
+# Output since the last write of progress is generated again after a loss of the
+# instance; each write costs a call and the bytes of all unfinished texts.
+PROGRESS_INTERVAL_S = 1.5
+MIN_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 0.5
+# The store accepts 100 entries and 1 MB in one transaction; base64 adds a third.
+MAX_TRANSACTION_ENTRIES = 90
+MAX_TRANSACTION_BYTES = 600_000
 
 
 class HeldElsewhere(Record):
-    """Another instance holds the job, or its caller cancelled it: ``head`` says."""
+    """Another instance holds the job or its caller cancelled it, see ``head``."""
 
     __slots__ = ("head",)
 
@@ -49,33 +49,33 @@
 
 
 class JobWriter:
-    """Writes the job's part for its holder.
+    """Writes jobs for their holder.
 
     Args:
-        store: that keeps it.
-        incarnation: of this life of the process.
-        row_bytes: largest encoded value of a row.
+        store: of jobs.
+        incarnation: of this process.
+        row_bytes: maximum size of the encoded value of a row.
     """
 
     def __init__(self, store: RowStore, incarnation: str, row_bytes: int) -> None:
         self._store = store
         self._incarnation = incarnation
-        # A value is encoded as base64, and a few bytes go to its other fields.
-        self._most_text_bytes = row_bytes * 3 // 4 - 1024
+        # Values are encoded as base64; 1024 bytes are left for other fields.
+        self._max_text_bytes = row_bytes * 3 // 4 - 1024
 
     async def write(self, job: HeldJob, holder: str) -> bool:
-        """Write what is new; False if the job is held elsewhere or cancelled.
+        """Write results and progress; False if the job is held elsewhere or cancelled.
 
-        Repeats until the store's answer is certain.
+        Retries until the outcome is certain.
 
         Args:
             job: whose unlisted results and progress are written.
-            holder: incarnation that holds it from then on; empty to give it up.
+            holder: incarnation that holds it from then on; empty to release it.
         """
         results = await self._results(job)
         progress = [] if holder == "" and not job.states else self._progress(job)
-        transaction, head, kept = self._transaction(job, holder, results, progress)
-        answer = await self._settled(job, transaction, head)
+        transaction, head, stored = self._transaction(job, holder, results, progress)
+        answer = await self._transact_until_certain(job, transaction, head)
         if isinstance(answer, Err):
             job.lost = True
             found = answer.err_value.head
@@ -87,52 +87,58 @@
             )
             if found is not None:
                 job.head = found
-            job.stop_runs()
+            job.cancel_runs()
             return False
         job.version = answer.ok_value
         job.head = head
         for state, _ in results:
             state.status = LISTED
         job.unlisted = job.unlisted[len(results) :]
-        for state, event, failures in kept:
-            state.kept_event = event
-            state.kept_failures = failures
+        for state, event, failures in stored:
+            state.stored_event = event
+            state.stored_failures = failures
         return True
 
     async def _results(self, job: HeldJob) -> list[tuple[ItemState, ItemResult]]:
-        """Return the results that one transaction takes, large texts put apart."""
+        """Return the results for one transaction; large texts become objects."""
         taken: list[tuple[ItemState, ItemResult]] = []
         size = 0
         for state, result in job.unlisted:
-            kept = result
-            if len(result.text) > self._most_text_bytes:
+            stored = result
+            if len(result.text) > self._max_text_bytes:
                 name = text_object(job.entry.id, state.number, self._incarnation)
                 await self._put_object(name, result.text)
-                kept = result.replace(text=b"", object=name)
-            size += len(kept.text)
-            if taken and (size > MOST_BYTES or len(taken) >= MOST_ENTRIES // 2):
+                stored = result.replace(text=b"", object=name)
+            size += len(stored.text)
+            if taken and (
+                size > MAX_TRANSACTION_BYTES
+                or len(taken) >= MAX_TRANSACTION_ENTRIES // 2
+            ):
                 break
-            taken.append((state, kept))
+            taken.append((state, stored))
         return taken
 
     async def _put_object(self, name: str, data: bytes) -> None:
-        pause_s = PAUSE_S
+        pause_s = MIN_RETRY_DELAY_S
         while isinstance(answer := await self._store.put_object(name, data), Err):
-            log.info("text not kept yet", object=name, reason=answer.err_value.reason)
+            log.info("text not stored yet", object=name, reason=answer.err_value.reason)
             await asyncio.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
+            pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
 
     def _progress(self, job: HeldJob) -> list[ItemState]:
-        """Return the unfinished items whose progress is written, within bounds."""
+        """Return unfinished items with new progress that fit in the transaction."""
         taken: list[ItemState] = []
         size = 0
         for state in job.states:
-            if state.status in (DONE, LISTED) or not state.has_news:
+            if state.status in (DONE, LISTED) or not state.has_unstored_progress:
                 continue
-            if len(state.progress.text) > self._most_text_bytes:
-                continue  # too large for a row; it is generated again after a loss
+            if len(state.progress.text) > self._max_text_bytes:
+                continue  # too large for a row; generated again after a loss
             size += len(state.progress.text)
-            if size > MOST_BYTES or len(taken) >= MOST_ENTRIES // 2:
+            if (
+                size > MAX_TRANSACTION_BYTES
+                or len(taken) >= MAX_TRANSACTION_ENTRIES // 2
+            ):
                 break
             taken.append(state)
         return taken
@@ -154,25 +160,25 @@
         removes: list[RowKey] = []
         for offset, (state, result) in enumerate(results):
             writes[result_key(id, job.head.listed + offset)] = to_bytes(result)
-            if state.kept_event or state.kept_failures:
+            if state.stored_event or state.stored_failures:
                 removes.append(progress_key(id, state.number))
-        kept: list[tuple[ItemState, int, int]] = []
+        stored: list[tuple[ItemState, int, int]] = []
         for state in progress:
             writes[progress_key(id, state.number)] = to_bytes(state.progress)
-            kept.append((state, state.progress.event, state.progress.failures))
+            stored.append((state, state.progress.event, state.progress.failures))
         versions = {head_key(id): job.version}
-        return Transaction(versions, writes, removes), head, kept
+        return Transaction(versions, writes, removes), head, stored
 
-    async def _settled(
+    async def _transact_until_certain(
         self, job: HeldJob, transaction: Transaction, head: JobHead
     ) -> Result[int, HeldElsewhere]:
-        """Repeat ``transaction`` until it is certain what became of it.
+        """Repeat ``transaction`` until its outcome is certain.
 
-        Its condition names the head's version, so of all repeats one takes effect at
-        most, and a late one none.
+        It is conditional on the head's version, so at most one of the repeats takes
+        effect, and none after another write.
         """
         key = head_key(job.entry.id)
-        pause_s = PAUSE_S
+        pause_s = MIN_RETRY_DELAY_S
         while True:
             answer = await self._store.transact(transaction)
             if not isinstance(answer, Err):
@@ -190,6 +196,6 @@
                 if found == head:
                     return Ok(row.version)
                 return Err(HeldElsewhere(found))
-            log.info("job not kept yet", job=job.entry.id, reason=error.reason)
+            log.info("job not written yet", job=job.entry.id, reason=error.reason)
             await asyncio.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
+            pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
--- a/src/caperridge/gateway/jobs/keys.py
+++ b/src/caperridge/gateway/jobs/keys.py
@@ -1,7 +1,8 @@
-"""Names of tables, rows and objects of jobs.
+"""Keys of the tables, rows and objects of jobs.
 
-The index lists all jobs; it has one part, so that accepting a job can be conditional
-on the sum of what waits on its route. All that decides one job has a part of its own.
+The index lists all jobs in one partition, so that the acceptance of a job can be
+conditional on the waiting tokens of its route. The rows of each job are in a partition
+of their own.
 """
 
 from caperridge.gateway.rows import RowKey
@@ -17,12 +18,12 @@
 
 
 def entry_key(job: str) -> RowKey:
-    """Return the key of a job in the index."""
+    """Return the key of a job's entry in the index."""
     return RowKey(INDEX, "", _ENTRY + job)
 
 
 def job_of_entry(key: RowKey) -> str | None:
-    """Return the job whose entry has ``key``; None if it is no entry.
+    """Return the job whose entry has ``key``; None if it is not an entry.
 
     >>> job_of_entry(entry_key("a1"))
     'a1'
@@ -31,7 +32,7 @@
 
 
 def gate_key(route: str) -> RowKey:
-    """Return the key of the row that each acceptance on ``route`` writes."""
+    """Return the key of the gate row that each acceptance on ``route`` writes."""
     return RowKey(INDEX, "", _GATE + route)
 
 
@@ -41,7 +42,7 @@
 
 
 def progress_key(job: str, item: int) -> RowKey:
-    """Return the key of what is kept of an unfinished item."""
+    """Return the key of the progress of an unfinished item."""
     return RowKey(JOBS, job, f"{_PROGRESS}{item:06d}")
 
 
@@ -54,7 +55,7 @@
 
 
 def number_of(key: RowKey) -> int:
-    """Return the item or position in ``key``.
+    """Return the number of the item or the position in ``key``.
 
     >>> number_of(result_key("a1", 12))
     12
@@ -63,17 +64,17 @@
 
 
 def is_head(key: RowKey) -> bool:
-    """Whether ``key`` is that of a head."""
+    """Whether ``key`` is the key of a head."""
     return key.key == _HEAD
 
 
 def is_progress(key: RowKey) -> bool:
-    """Whether ``key`` is that of an item's progress."""
+    """Whether ``key`` is the key of an item's progress."""
     return key.key.startswith(_PROGRESS)
 
 
 def is_result(key: RowKey) -> bool:
-    """Whether ``key`` is that of a result."""
+    """Whether ``key`` is the key of a result."""
     return key.key.startswith(_RESULT)
 
 
--- a/src/caperridge/gateway/jobs/model.py
+++ b/src/caperridge/gateway/jobs/model.py
@@ -1,4 +1,4 @@
-"""What a job, its items and its results are; kept in the store as msgpack."""
+"""Records of jobs, items and results, stored as msgpack."""
 
 from caperridge.records import Record
 
@@ -10,11 +10,11 @@
     """One request of a job.
 
     Attributes:
-        id: unique in the job; the request's id at a target.
+        id: unique in the job; sent to targets as the id of the request.
         path: that it is sent to, with POST.
         headers: as pairs, in order.
-        body: its bytes.
-        tokens: of its prompt and at most to be generated, together.
+        body: of the request.
+        tokens: of the prompt, plus the maximum number to be generated.
     """
 
     __slots__ = ("body", "headers", "id", "path", "tokens")
@@ -39,7 +39,7 @@
 
     @property
     def tokens(self) -> int:
-        """Sum over the items."""
+        """Sum of the tokens of the items."""
         return sum(item.tokens for item in self.items)
 
 
@@ -48,13 +48,13 @@
 
     Attributes:
         id: given by the caller.
-        route: name of the route that took it.
+        route: name of the route that matched it.
         host: that it was sent to.
         total: number of items.
-        sent_s: when it was accepted, on the store's clock.
-        waiting_tokens: of items that are not done; never rises.
-        object: name of the object that holds the items.
-        open: more results may come.
+        sent_s: time of acceptance, in seconds of the store's clock.
+        waiting_tokens: of unfinished items; never rises.
+        object: name of the object with the items.
+        open: whether more results may be listed.
     """
 
     __slots__ = (
@@ -90,15 +90,15 @@
 
 
 class JobHead(Record):
-    """Who works on a job and how far it is; every write of it has a condition on it.
+    """Holder and state of a job; each write is conditional on its version.
 
     Attributes:
-        holder: incarnation of the instance that works on it; empty if none.
+        holder: incarnation of the instance that holds the job; empty if none.
         total: number of items.
         listed: number of results.
-        cancelled: its caller ended it.
-        turn: raised with each write, so that a lost answer can be told from another
-            holder's write.
+        cancelled: whether the caller cancelled it.
+        turn: incremented by each write, to distinguish an own write whose answer was
+            lost from a write of another holder.
     """
 
     __slots__ = ("cancelled", "holder", "listed", "total", "turn")
@@ -119,17 +119,17 @@
 
     @property
     def finished(self) -> bool:
-        """No more results will come."""
+        """Whether no more results will be listed."""
         return self.cancelled or self.listed >= self.total
 
 
 class ItemProgress(Record):
-    """What is kept of an unfinished item.
+    """Progress of an unfinished item.
 
     Attributes:
         event: number of the last event in ``text``; 0 before the first.
-        text: data of the events up to there, joined by line feeds.
-        failures: attempts that the target said failed.
+        text: data of the events so far, joined by line feeds.
+        failures: number of attempts that a target reported as failed.
     """
 
     __slots__ = ("event", "failures", "text")
@@ -141,13 +141,13 @@
 
 
 class ItemResult(Record):
-    """A result at its position.
+    """Result of an item.
 
     Attributes:
         item: id of the item.
         state: ``COMPLETED`` or ``DEAD``.
-        text: data of all events, joined by line feeds; empty if it is kept apart.
-        object: name of the object that holds a text too large for a row.
+        text: data of all events, joined by line feeds; empty if it is in an object.
+        object: name of the object with a text too large for a row.
     """
 
     __slots__ = ("item", "object", "state", "text")
--- a/src/caperridge/gateway/jobs/recalls.py
+++ b/src/caperridge/gateway/jobs/recalls.py
@@ -1,8 +1,8 @@
-"""Having items of far holders give way where a target has more than its slots.
+"""Preemption of other instances' items at targets that have more runs than slots.
 
-Where there are many instances, who sends an online request to another availability
-zone need not know who has items there, nor does that holder hear of the request. Who
-grants the target's slots hears of both.
+In a large fleet, the sender of an online request to another availability zone may not
+know whose items run there, and the holders of these items may not receive the count of
+the request. The granter of the target receives both.
 """
 
 import asyncio
@@ -19,19 +19,19 @@
 
 log = logger(__name__)
 
-# A recall, and the count of the item it ended, pass at most five peers, 20 ms each.
+# A recall, and the count after it, are relayed by at most five peers, 20 ms each.
 MIN_RECALL_INTERVAL_S = 0.1
 
 
 class SlotRecalls:
-    """Sends recalls for the targets that fall to this instance, and obeys others'.
+    """Sends recalls for targets granted by this instance, and follows those of peers.
 
     Args:
         mesh: of peers.
         fleet: targets and counts.
-        granting: knows which targets fall to this instance.
-        slots: cancels items.
-        jobs: returns the jobs held here.
+        granting: knows the targets whose granter is this instance.
+        slots: preempts items.
+        jobs: returns the jobs that this instance holds.
     """
 
     def __init__(
@@ -47,33 +47,33 @@
         self._granting = granting
         self._slots = slots
         self._jobs = jobs
-        self._again_at: dict[tuple[str, str], float] = {}
-        mesh.register(SlotRecall, self._recalled)
+        self._next_recall_at: dict[tuple[str, str], float] = {}
+        mesh.register(SlotRecall, self._handle_recall)
 
     def check(self, id: str) -> None:
-        """Recall slots of a target whose counts changed, if they are too few."""
+        """Recall slots of a target whose counts changed, if it has too many runs."""
         target = self._fleet.targets.by_id.get(id)
         occupancy = self._fleet.occupancy
         if target is None or occupancy.at(id).total <= target.slots:
             return
-        if not self._mesh.large or not self._granting.grants(id):
+        if not self._mesh.large or not self._granting.is_granter_of(id):
             return
         now = asyncio.get_running_loop().time()
         for instance, count in items_to_cancel_by_instance(target, occupancy).items():
             member = self._mesh.members_by_id.get(instance)
             if member is None or self._mesh.is_near(member):
-                continue  # it hears of all requests here by itself
-            if now < self._again_at.get((id, instance), 0.0):
+                continue  # it receives the counts of all requests here itself
+            if now < self._next_recall_at.get((id, instance), 0.0):
                 continue
-            self._again_at[id, instance] = now + MIN_RECALL_INTERVAL_S
+            self._next_recall_at[id, instance] = now + MIN_RECALL_INTERVAL_S
             log.info("slots recalled", target=id, peer=instance, count=count)
             self._mesh.send(instance, SlotRecall(id, count))
 
     def expire(self, now: float) -> None:
-        """Drop what is known of recalls that may be sent again."""
-        for key, again_at in list(self._again_at.items()):
-            if again_at <= now:
-                del self._again_at[key]
+        """Remove the times of recalls that may be sent again."""
+        for key, next_at in list(self._next_recall_at.items()):
+            if next_at <= now:
+                del self._next_recall_at[key]
 
-    def _recalled(self, peer: str, recall: SlotRecall) -> None:
-        self._slots.recall(self._jobs(), recall.target, recall.count)
+    def _handle_recall(self, peer: str, recall: SlotRecall) -> None:
+        self._slots.preempt(self._jobs(), recall.target, recall.count)
--- a/src/caperridge/gateway/jobs/schedule.py
+++ b/src/caperridge/gateway/jobs/schedule.py
@@ -1,7 +1,7 @@
-"""Which items start, and which give way.
+"""Earliest-deadline-first scheduling of items: which start, and which are preempted.
 
-An item that can still be in time goes before one that cannot: where slots are few, the
-earliest due first alone would finish nearly all of them late.
+An item that can still be in time goes before one that cannot: where slots are few,
+plain earliest deadline first would finish nearly all items late.
 """
 
 from collections.abc import Iterable
@@ -9,19 +9,19 @@
 from caperridge.gateway.jobs.held_job import HeldJob, ItemState
 from caperridge.records import Record
 
-# Added to the due time of items that will be late whatever is done; more than any job
-# has, so that they stand behind all others in one order.
+# Added to the due time of items that will be late in any case. It is longer than the
+# time of any job, so that these items rank behind all others.
 LATE_PENALTY_S = 1e6
 
 
 class RankedItem(Record):
-    """An item that may start or runs, with its job and its place in the order.
+    """An item that may start or is running, with its rank.
 
     Attributes:
         job: that it belongs to.
         state: of the item.
-        due: when it is due, on the store's clock.
-        order: by when it is ordered; see :func:`effective_due`.
+        due: due time, in seconds of the store's clock.
+        order: effective due time that it is ranked by; see :func:`effective_due`.
     """
 
     __slots__ = ("due", "job", "order", "state")
@@ -36,7 +36,7 @@
 
     @property
     def late(self) -> bool:
-        """Whether it cannot be done by when it is due."""
+        """Whether it can no longer be done in time."""
         return self.order > self.due
 
 
@@ -46,9 +46,9 @@
     It is ``LATE_PENALTY_S`` later than the real one if the item will be late.
 
     Args:
-        due: when it is due.
-        left_s: how long it is likely to take.
-        now: the time, on the same clock.
+        due: due time, in seconds.
+        left_s: expected time until it is done.
+        now: current time, on the same clock.
 
     >>> effective_due(20.0, 4.0, 10.0), effective_due(20.0, 4.0, 17.0)
     (20.0, 1000020.0)
@@ -56,17 +56,17 @@
     return due + LATE_PENALTY_S if now + left_s > due else due
 
 
-def by_urgency(startable: Iterable[RankedItem]) -> list[RankedItem]:
-    """Return ``startable`` by urgency.
+def by_urgency(items: Iterable[RankedItem]) -> list[RankedItem]:
+    """Return items by urgency.
 
-    The earliest due comes before others and, of one job, the furthest along.
+    The earliest due comes first; of one job, the one with the most output.
     """
-    return sorted(startable, key=lambda one: (one.order, -one.state.progress.event))
+    return sorted(items, key=lambda one: (one.order, -one.state.progress.event))
 
 
 def preemption_order(running: Iterable[RankedItem]) -> list[RankedItem]:
-    """Return running items with those first that may best wait.
+    """Return running items in the order in which they are preempted.
 
-    The latest due gives way first and, of one job, the least far along.
+    The latest due comes first; of one job, the one with the least output.
     """
     return sorted(running, key=lambda one: (-one.order, one.state.progress.event))
--- a/src/caperridge/gateway/jobs/slots.py
+++ b/src/caperridge/gateway/jobs/slots.py
@@ -1,11 +1,11 @@
-"""Items in free slots: which start where, and which give way to online requests."""
+"""Scheduling of items: which start in granted slots, and which are preempted."""
 
 from collections.abc import Iterable
 
 from caperridge.gateway.clock import StoreClock
 from caperridge.gateway.configuration import ConfigurationInForce
 from caperridge.gateway.fleet import Fleet
-from caperridge.gateway.jobs.broker import Want
+from caperridge.gateway.jobs.broker import SlotRequest
 from caperridge.gateway.jobs.held_job import HeldJob, ItemState
 from caperridge.gateway.jobs.item_runs import ItemRuns
 from caperridge.gateway.jobs.model import JobEntry, JobItem
@@ -23,8 +23,9 @@
 
 log = logger(__name__)
 
-# An item is given up this long after it may be, so that clocks cannot disagree.
-RETENTION_SLACK_S = 1.0
+# An item is marked dead only this long after its retention ends, to allow for clock
+# skew.
+RETENTION_MARGIN_S = 1.0
 
 
 class ItemSlots:
@@ -33,9 +34,9 @@
     Args:
         configuration: in force.
         fleet: targets and counts.
-        clock: of the store, which jobs are dated by.
-        runs: starts them.
-        metrics: counted into.
+        clock: of the store, in which jobs' times are given.
+        runs: starts items.
+        metrics: of the instance.
     """
 
     def __init__(
@@ -51,116 +52,122 @@
         self._clock = clock
         self._runs = runs
         self._metrics = metrics
-        runs.may_go_on = self._leads_to
+        runs.may_resume = self._still_routed_to
 
-    def exceeded(self, target: str) -> bool:
-        """Whether own items run at ``target`` and more runs there than it has slots."""
+    def is_over_capacity(self, target: str) -> bool:
+        """Whether ``target`` has more runs than slots, and items of this instance."""
         return target in self._runs.targets and not self._within_slots(target)
 
-    def give_way(self, jobs: Iterable[HeldJob]) -> None:
-        """Cancel items where more runs than the target has slots."""
-        running: dict[str, list[RankedItem]] = {}
+    def preempt_excess(self, jobs: Iterable[HeldJob]) -> None:
+        """Preempt items at targets that have more runs than slots."""
+        running_by_target: dict[str, list[RankedItem]] = {}
         for job in jobs:
             for state in job.running():
                 if self._within_slots(state.target):
                     continue
-                one = self._ordered(job, state)
-                running.setdefault(state.target, []).append(one)
+                ranked = self._ranked(job, state)
+                running_by_target.setdefault(state.target, []).append(ranked)
         occupancy = self._fleet.occupancy
-        for id, ones in running.items():
+        for id, items in running_by_target.items():
             target = self._fleet.targets.by_id.get(id)
             if target is None:
                 continue
-            self._cancel(ones, items_to_cancel(target, occupancy), id)
+            self._cancel(items, items_to_cancel(target, occupancy), id)
 
-    def recall(self, jobs: Iterable[HeldJob], target: str, count: int) -> None:
-        """Cancel ``count`` items at ``target``, as who grants its slots asks."""
-        ones = [
-            self._ordered(job, state)
+    def preempt(self, jobs: Iterable[HeldJob], target: str, count: int) -> None:
+        """Preempt ``count`` items at ``target``, as its granter requests."""
+        items = [
+            self._ranked(job, state)
             for job in jobs
             for state in job.running()
             if state.target == target
         ]
-        self._cancel(ones, count, target)
+        self._cancel(items, count, target)
 
-    def _cancel(self, ones: list[RankedItem], count: int, target: str) -> None:
-        """Have ``count`` of these items give way, with those that do already."""
+    def _cancel(self, items: list[RankedItem], count: int, target: str) -> None:
+        """Preempt ``count`` of these items, counting those being cancelled already."""
         at_target = self._fleet.occupancy.at(target)
-        count -= sum(1 for one in ones if one.state.cancelling)
-        running_on = [one for one in ones if not one.state.cancelling]
-        for one in preemption_order(running_on)[: max(0, count)]:
+        count -= sum(1 for ranked in items if ranked.state.cancelling)
+        remaining = [ranked for ranked in items if not ranked.state.cancelling]
+        for ranked in preemption_order(remaining)[: max(0, count)]:
             log.info(
-                "item gives way",
-                item=one.state.item.id,
+                "item preempted",
+                item=ranked.state.item.id,
                 target=target,
                 online=at_target.online,
                 items=at_target.items,
             )
-            one.state.cancel()
+            ranked.state.cancel()
 
     def is_full(self, target: Target) -> bool:
-        """Whether ``target`` has no free slot, by what this instance knows."""
+        """Whether ``target`` has no free slot, as far as this instance knows."""
         return self._fleet.occupancy.at(target.id).total >= target.slots
 
     def _within_slots(self, id: str) -> bool:
         target = self._fleet.targets.by_id.get(id)
         return target is None or self._fleet.occupancy.at(id).total <= target.slots
 
-    def wants(self, jobs: Iterable[HeldJob], now: float) -> dict[str, Want]:
-        """Return what could start at ``now``, by service.
+    def slot_requests(
+        self, jobs: Iterable[HeldJob], now: float
+    ) -> dict[str, SlotRequest]:
+        """Return requests for the items that could start at ``now``, by service.
 
-        Items that can never run are taken out of their jobs on the way.
+        Marks items that can never run as dead.
         """
-        wants: dict[str, Want] = {}
-        for one in self._startable(jobs, now):
-            service = self._service(one)
-            if service is None or self._runs.is_held(one):
+        requests: dict[str, SlotRequest] = {}
+        for ranked in self._pending_items(jobs, now):
+            service = self._service(ranked)
+            if service is None or self._runs.is_quarantined(ranked):
                 continue
-            want = wants.get(service)
-            if want is None:
-                wants[service] = Want(1, one.order)
+            request = requests.get(service)
+            if request is None:
+                requests[service] = SlotRequest(1, ranked.order)
                 continue
-            want.count += 1
-            want.due = min(want.due, one.order)
-        self._metrics.waiting_items.set(sum(want.count for want in wants.values()))
-        return wants
-
-    def start_at(self, jobs: Iterable[HeldJob], target: Target, now: float) -> bool:
-        """Start the most urgent item that ``target`` serves; False if there is none."""
-        for one in by_urgency(self._startable(jobs, now)):
-            if self._service(one) != target.service or self._runs.is_held(one):
+            request.count += 1
+            request.due = min(request.due, ranked.order)
+        self._metrics.waiting_items.set(
+            sum(request.count for request in requests.values())
+        )
+        return requests
+
+    def start_item(self, jobs: Iterable[HeldJob], target: Target, now: float) -> bool:
+        """Start the most urgent item for ``target``; False if there is none."""
+        for ranked in by_urgency(self._pending_items(jobs, now)):
+            if self._service(ranked) != target.service or self._runs.is_quarantined(
+                ranked
+            ):
                 continue
-            route = self._route(one.job.entry, one.state.item)
+            route = self._route(ranked.job.entry, ranked.state.item)
             if route is None:
                 continue
-            self._runs.start(one, route, target)
+            self._runs.start(ranked, route, target)
             return True
         return False
 
-    def _startable(self, jobs: Iterable[HeldJob], now: float) -> list[RankedItem]:
-        startable: list[RankedItem] = []
+    def _pending_items(self, jobs: Iterable[HeldJob], now: float) -> list[RankedItem]:
+        pending: list[RankedItem] = []
         for job in jobs:
-            startable += [self._ordered(job, state) for state in job.pending(now)]
-        return startable
+            pending += [self._ranked(job, state) for state in job.pending(now)]
+        return pending
 
-    def _ordered(self, job: HeldJob, state: ItemState) -> RankedItem:
+    def _ranked(self, job: HeldJob, state: ItemState) -> RankedItem:
         due = self._due(job)
-        left_s = self._left_s(job, state)
+        remaining_s = self._remaining_s(job, state)
         return RankedItem(
-            job, state, due, effective_due(due, left_s, self._clock.now())
+            job, state, due, effective_due(due, remaining_s, self._clock.now())
         )
 
-    def _leads_to(self, one: RankedItem, target: Target) -> bool:
-        """Whether an item that runs at ``target`` would be sent to its service now."""
+    def _still_routed_to(self, ranked: RankedItem, target: Target) -> bool:
+        """Whether the configuration in force still routes an item to ``target``."""
         if self._configuration.table is None:
             return False
-        route = self._route(one.job.entry, one.state.item)
+        route = self._route(ranked.job.entry, ranked.state.item)
         return route is not None and (
-            route.service_for(one.state.item.id) == target.service
+            route.service_for(ranked.state.item.id) == target.service
         )
 
-    def _left_s(self, job: HeldJob, state: ItemState) -> float:
-        """Return how long an item is likely to take until it is done."""
+    def _remaining_s(self, job: HeldJob, state: ItemState) -> float:
+        """Return the expected time until an item is done, in seconds."""
         table = self._configuration.table
         route = table.batch_route(job.entry.route) if table is not None else None
         if route is None:
@@ -168,28 +175,30 @@
         lengths = self._fleet.lengths(route.service_for(state.item.id))
         return lengths.left_s(state.item.tokens, state.progress.event)
 
-    def refresh_dues(self, jobs: Iterable[HeldJob]) -> None:
-        """Say again by when running items are ordered: some cannot be in time now."""
+    def refresh_ranks(self, jobs: Iterable[HeldJob]) -> None:
+        """Update the ranks of running items: some can no longer be in time."""
         for job in jobs:
             for state in job.running():
-                self._runs.ordered_by(state, self._ordered(job, state).order)
+                self._runs.update_order(state, self._ranked(job, state).order)
 
-    def _service(self, one: RankedItem) -> str | None:
-        """Return which service runs an item now; None if it cannot run."""
+    def _service(self, ranked: RankedItem) -> str | None:
+        """Return the service that runs an item; None, marking it dead, if none may."""
         if self._configuration.table is None:
             return None
-        route = self._route(one.job.entry, one.state.item)
+        route = self._route(ranked.job.entry, ranked.state.item)
         if route is None:
-            log.info("item without a route", item=one.state.item.id)
-            one.job.bury(one.state)
+            log.info("item without a route", item=ranked.state.item.id)
+            ranked.job.mark_dead(ranked.state)
             return None
         assert route.batch is not None
-        age_s = self._clock.now() - one.job.entry.sent_s
-        if age_s > route.batch.retention_s + RETENTION_SLACK_S:
-            log.info("item is too old", item=one.state.item.id, age_s=round(age_s, 1))
-            one.job.bury(one.state)
+        age_s = self._clock.now() - ranked.job.entry.sent_s
+        if age_s > route.batch.retention_s + RETENTION_MARGIN_S:
+            log.info(
+                "item is too old", item=ranked.state.item.id, age_s=round(age_s, 1)
+            )
+            ranked.job.mark_dead(ranked.state)
             return None
-        return route.service_for(one.state.item.id)
+        return route.service_for(ranked.state.item.id)
 
     def _route(self, entry: JobEntry, item: JobItem) -> Route | None:
         table = self._configuration.table
--- a/src/caperridge/gateway/jobs/sweep.py
+++ b/src/caperridge/gateway/jobs/sweep.py
@@ -1,4 +1,4 @@
-"""Removing jobs that ended long ago, with all that was kept of them."""
+"""Retention: removes finished jobs with all their rows and objects."""
 
 import asyncio
 
@@ -16,21 +16,21 @@
 
 log = logger(__name__)
 
-LOOK_S = 20.0
-# Kept longer than was promised, for callers whose clocks or patience differ.
-SLACK_S = 60.0
-MOST_REMOVED = 90
+SWEEP_INTERVAL_S = 20.0
+# Jobs are kept longer than promised to allow for clock skew and late callers.
+RETENTION_MARGIN_S = 60.0
+MAX_ROWS_PER_REMOVAL = 90
 
 
 class JobSweeper:
-    """Sweeps the ended jobs that fall to this instance.
+    """Removes old finished jobs; hashing assigns each to one live instance.
 
     Args:
-        store: that keeps them.
+        store: of jobs.
         index: of all jobs.
         clock: of the store.
-        mesh: tells who else lives.
-        kept_s: from a job's acceptance for how long its results can be read.
+        mesh: provides the live instances.
+        kept_s: retention time of a job after its acceptance, in seconds.
     """
 
     def __init__(
@@ -48,18 +48,18 @@
         self._kept_s = kept_s
 
     async def run(self) -> None:
-        """Sweep until cancelled."""
+        """Sweep periodically until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            for entry in self.due():
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            for entry in self.expired_jobs():
                 await self._sweep(entry)
 
-    def due(self) -> list[JobEntry]:
-        """Return the ended jobs of this instance's share that are old enough."""
+    def expired_jobs(self) -> list[JobEntry]:
+        """Return the jobs assigned to this instance whose retention is over."""
         if not self._clock.known:
             return []
         live = [self._mesh.instance, *(member.id for member in self._mesh.alive())]
-        before = self._clock.now() - self._kept_s - SLACK_S
+        before = self._clock.now() - self._kept_s - RETENTION_MARGIN_S
         return [
             entry
             for entry in self._index.entries_by_job.values()
@@ -71,10 +71,10 @@
     async def _sweep(self, entry: JobEntry) -> None:
         """Remove a job's rows, then its objects, and last its entry.
 
-        Whatever fails is tried again at the next look, for the entry is still there.
+        A failed step is retried at the next sweep, as the entry still exists.
         """
         while True:
-            answer = await self._store.read(JOBS, entry.id, limit=MOST_REMOVED)
+            answer = await self._store.read(JOBS, entry.id, limit=MAX_ROWS_PER_REMOVAL)
             if isinstance(answer, Err):
                 return
             rows = answer.ok_value.rows
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -293,7 +293,7 @@
         self.instances.pop(place)
         store = self._stores.pop(place)
         for held in instance.keeper.held_by_id.values():
-            held.stop_runs()
+            held.cancel_runs()
         await instance.close()
         await store.close()
 
--- a/tests/gateway/test_acceptance.py
+++ b/tests/gateway/test_acceptance.py
@@ -1,4 +1,4 @@
-"""Accepting jobs: once, within the limit of a route, and refused ones never later."""
+"""Acceptance of jobs: once, within the route's limit, and never after a refusal."""
 
 import asyncio
 import random
@@ -27,9 +27,9 @@
     MemoryRows,
 )
 
-# The store answers 500 rows at a time, and takes 100 in one transaction.
+# The store returns 500 rows per read and accepts 100 in one transaction.
 JOBS = 620
-AT_A_TIME = 90
+ROWS_PER_WRITE = 90
 LIMIT = 700
 
 
@@ -51,10 +51,10 @@
 
 
 async def fill(store: HttpRowStore, jobs: int) -> None:
-    """Keep open jobs of one token each, and the gate as the last of them left it."""
+    """Write open jobs of one token each, and the gate as the last of them wrote it."""
     keys = [f"j{number:04d}" for number in range(jobs)]
-    for first in range(0, jobs, AT_A_TIME):
-        some = keys[first : first + AT_A_TIME]
+    for first in range(0, jobs, ROWS_PER_WRITE):
+        some = keys[first : first + ROWS_PER_WRITE]
         writes = {
             entry_key(id): to_bytes(JobEntry(id, "work", HOST, 1, 0.0, 1, "o"))
             for id in some
@@ -100,8 +100,8 @@
 @pytest.fixture(scope="module")
 def no_pauses() -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(module, "PAUSE_S", 0.0)
-        patch.setattr(module, "LONGEST_PAUSE_S", 0.0)
+        patch.setattr(module, "MIN_RETRY_DELAY_S", 0.0)
+        patch.setattr(module, "MAX_RETRY_DELAY_S", 0.0)
         yield
 
 
@@ -113,7 +113,7 @@
     fates: list[int],
     pauses: list[int],
 ) -> None:
-    """Instances accept at once, with old copies of the index, over a bad store."""
+    """Instances accept concurrently with stale indexes and a faulty store."""
     asyncio.run(_play(sent, fates, pauses))
 
 
@@ -126,7 +126,7 @@
     instances = [
         JobAcceptance(store, JobIndex(), clock, random.Random(1)) for _ in range(3)
     ]
-    # The same job has the same tokens, whoever sends it.
+    # A job has the same tokens whichever instance receives it.
     tokens_by_id = {id: tokens for _, id, tokens in sent}
     deadline = asyncio.get_running_loop().time() + 60.0
     route = batch_route(SMALL_LIMIT)
@@ -158,5 +158,5 @@
     assert accepted <= kept
     assert not (refused - accepted) & kept
     fresh = [outcome for outcome in outcomes if isinstance(outcome, Accepted)]
-    own = [outcome.entry.id for outcome in fresh if not outcome.again]
+    own = [outcome.entry.id for outcome in fresh if not outcome.duplicate]
     assert len(own) == len(set(own))
--- a/tests/gateway/test_crowded_targets.py
+++ b/tests/gateway/test_crowded_targets.py
@@ -1,13 +1,11 @@
-"""Items beside online requests that come and go at a crowded target.
-
-Seen on a deployment of 63 instances and 45 targets of 8 slots: while online requests
-filled six to seven slots of each target, items were started 310 times and gave way 249
-times within two seconds, though only some 50 of them ran at a time. Each start costs a
-connection and its prompt, and is told to dozens of instances.
-
-Every slot that an online request left was granted at once, so the next online request
-met a full target and an item had to go. The log lines of the start and of giving way
-told it: the same items, some ten milliseconds apart.
+"""Items at targets that are nearly full of online requests.
+
+Guards against items that are started and preempted in quick succession. Every slot that
+an online request left was granted at once, so the next online request met a full target
+and an item was preempted, some ten milliseconds after its start. With 63 instances and
+45 targets of 8 slots, six to seven of them filled by online requests, items started 310
+times and were preempted 249 times in 2 s, though only some 50 ran at a time. Each start
+costs a connection, a read of the prompt and messages to dozens of instances.
 """
 
 import asyncio
@@ -17,9 +15,9 @@
 from gateway.test_jobs import listed
 
 SLOTS = 8
-# Online requests of others that come and go by ones.
-TIDES = 8
-TIDE_S = 0.05
+# Changes of the number of online requests of other instances, by one each.
+CHANGES = 8
+CHANGE_INTERVAL_S = 0.05
 
 
 async def test_an_item_does_not_start_and_stop_with_each_online_request(
@@ -30,9 +28,9 @@
     await world.ready()
     _tell_online(instance, runner.id, SLOTS - 1)
     assert (await world.submit(instance, "j1", ["x1"])).status == 202
-    for tide in range(TIDES):
-        await asyncio.sleep(TIDE_S)
-        _tell_online(instance, runner.id, SLOTS - tide % 2)
+    for change in range(CHANGES):
+        await asyncio.sleep(CHANGE_INTERVAL_S)
+        _tell_online(instance, runner.id, SLOTS - change % 2)
     assert len(runner.runs) <= 1
     _tell_online(instance, runner.id, SLOTS // 2)
     (result,) = await listed(world, instance, "j1", 1)
@@ -53,6 +51,6 @@
 
 
 def _tell_online(instance, target: str, online: int) -> None:
-    """Have the instance hear of online requests that others have at ``target``."""
+    """Apply a count of online requests of other instances at ``target``."""
     instance.fleet.occupancy.told("others", target, Count(online))
     instance.fleet.changed()
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -1,4 +1,4 @@
-"""Placement, grants, counts, the list of targets and copies of tables, without I/O."""
+"""Placement, slot grants, counts, target lists and table copies, without I/O."""
 
 import collections
 import itertools
@@ -10,8 +10,13 @@
 
 from caperridge.gateway.events import EventSplitter
 from caperridge.gateway.fleet import FAILURES_COUNT_FOR_S, LONGEST_OUT_S, Fleet
-from caperridge.gateway.jobs.asking import Opening, split
-from caperridge.gateway.jobs.broker import GRANT_S, Members, SlotBroker, Want
+from caperridge.gateway.jobs.asking import TargetCapacity, split_requests
+from caperridge.gateway.jobs.broker import (
+    GRANT_LIFETIME_S,
+    Members,
+    SlotBroker,
+    SlotRequest,
+)
 from caperridge.gateway.occupancy import Count, Occupancy
 from caperridge.gateway.placement import (
     items_to_cancel,
@@ -64,7 +69,7 @@
 def test_requests_for_other_zones_are_spread_while_counts_are_old(
     occupancy: Occupancy, chance: random.Random
 ) -> None:
-    """Many instances see the same one empty target; not all of them may take it."""
+    """Many instances see the same empty target; they must not all choose it."""
     near = target("near")
     far = [target(f"far-{number}", "b", slots=8) for number in range(6)]
     for number, one in enumerate(far):
@@ -154,17 +159,17 @@
 def test_a_slot_is_granted_once_to_the_most_urgent(
     broker: SlotBroker, occupancy: Occupancy
 ) -> None:
-    broker.wants("late", {"model": Want(5, 5.0)})
-    broker.wants("soon", {"model": Want(1, 20.0)})
-    broker.wants("later", {"model": Want(5, 30.0)})
+    broker.set_requests("late", {"model": SlotRequest(5, 5.0)})
+    broker.set_requests("soon", {"model": SlotRequest(1, 20.0)})
+    broker.set_requests("later", {"model": SlotRequest(5, 30.0)})
     one = [target("t", slots=2)]
     grants = broker.grant(one, occupancy, store_now=10.0, now=0.0)
     assert [grant.instance for grant in grants] == ["soon", "later"]
     assert broker.grant(one, occupancy, 10.0, 0.01) == []
-    broker.used("soon", "t")
+    broker.record_used("soon", "t")
     occupancy.told("soon", "t", Count(0, 1))
     assert broker.grant(one, occupancy, 10.0, 0.02) == []
-    assert len(broker.grant(one, occupancy, 10.0, GRANT_S + 0.03)) == 1
+    assert len(broker.grant(one, occupancy, 10.0, GRANT_LIFETIME_S + 0.03)) == 1
 
 
 @pytest.mark.parametrize(
@@ -174,8 +179,8 @@
         (4, 0, 30.0, 3),  # half the slots or more: one stays free
         (6, 1, 30.0, 0),
         (7, 0, 30.0, 0),
-        (6, 1, 12.0, 1),  # due before it could run twice
-        (7, 0, 5.0, 0),  # late already, which is no hurry
+        (6, 1, 12.0, 1),  # urgent: due before it could run twice
+        (7, 0, 5.0, 0),  # already late, so not urgent
         (8, 0, 12.0, 0),
     ],
 )
@@ -187,7 +192,7 @@
     due: float,
     granted: int,
 ) -> None:
-    broker.wants("peer", {"model": Want(8, due)})
+    broker.set_requests("peer", {"model": SlotRequest(8, due)})
     occupancy.told("others", "t", Count(online, items))
     grants = broker.grant([target("t", slots=8)], occupancy, store_now=10.0, now=0.0)
     assert len(grants) == granted
@@ -196,7 +201,7 @@
 def test_a_crowded_target_keeps_no_slot_of_another_from_items(
     broker: SlotBroker, occupancy: Occupancy
 ) -> None:
-    broker.wants("peer", {"model": Want(8, 30.0)})
+    broker.set_requests("peer", {"model": SlotRequest(8, 30.0)})
     occupancy.told("others", "crowded", Count(6))
     occupancy.told("others", "calm", Count(0, 7))
     both = [target("crowded", slots=8), target("calm", slots=8)]
@@ -207,18 +212,18 @@
 def test_a_want_that_was_declined_or_met_gets_no_more(
     broker: SlotBroker, occupancy: Occupancy
 ) -> None:
-    """Who grants may have missed the news that an instance wants nothing more."""
-    broker.wants("done", {"model": Want(5, 5.0)})
-    broker.wants("other", {"model": Want(1, 9.0)})
+    """The granter may have missed that an instance has no more items."""
+    broker.set_requests("done", {"model": SlotRequest(5, 5.0)})
+    broker.set_requests("other", {"model": SlotRequest(1, 9.0)})
     one = [target("t", slots=1)]
     (grant,) = broker.grant(one, occupancy, store_now=0.0, now=0.0)
     assert grant.instance == "done"
-    broker.declined("done", "t")
+    broker.record_declined("done", "t")
     (grant,) = broker.grant(one, occupancy, 0.0, 0.0)
     assert grant.instance == "other"
-    broker.used("other", "t")
+    broker.record_used("other", "t")
     assert broker.grant(one, occupancy, 0.0, 0.0) == []
-    assert not broker.wanted
+    assert not broker.has_requests
 
 
 @given(
@@ -232,11 +237,11 @@
 def test_what_is_asked_in_all_is_what_is_wanted_and_can_be(
     wanted: int, seen: list[tuple[str, int, bool]]
 ) -> None:
-    openings = [Opening(*one) for one in seen]
-    asked = split(wanted, openings, random.Random(1))
-    room = sum(max(0, one.free) + 1 for one in openings)
-    assert sum(asked.values()) == min(wanted, room)
-    assert set(asked) <= {one.granter for one in openings}
+    capacities = [TargetCapacity(*one) for one in seen]
+    requested = split_requests(wanted, capacities, random.Random(1))
+    room = sum(max(0, one.free) + 1 for one in capacities)
+    assert sum(requested.values()) == min(wanted, room)
+    assert set(requested) <= {one.granter for one in capacities}
 
 
 def test_one_member_of_the_target_s_zone_grants() -> None:
@@ -245,13 +250,13 @@
     granting = [
         name
         for name, broker in granters.items()
-        if broker.falls_here(members, [target("t", "a")], 1)
+        if broker.granted_target_ids(members, [target("t", "a")], 1)
     ]
     assert len(granting) == 1 and granting[0] in ("x", "y")
     (granter,) = granting
     left = Members({"a": [], "b": ["z"]})
-    assert granters[granter].falls_here(left, [target("t", "a")], 1) == []
-    assert granters["z"].falls_here(left, [target("t", "a")], 1) == ["t"]
+    assert granters[granter].granted_target_ids(left, [target("t", "a")], 1) == []
+    assert granters["z"].granted_target_ids(left, [target("t", "a")], 1) == ["t"]
 
 
 def test_entries_that_lapse_after_an_outage_are_kept_for_a_while() -> None:
@@ -269,7 +274,7 @@
 
 
 def test_an_older_whole_copy_still_tells_of_rows_written_since() -> None:
-    """A peer knows its own write before it has read the table up to there."""
+    """A peer has its own write before it has read the table up to that version."""
     copy = TableCopy("t")
     copy.take_whole([], 4)
     written = StoredRow(KEYS[0], b"x", 6)
@@ -283,7 +288,7 @@
 
 
 def test_a_stale_copy_of_a_peer_brings_nothing_back() -> None:
-    """An entry that was removed before the first read was never seen here."""
+    """An entry removed before the first read is unknown to this copy."""
     copy = TableCopy("t")
     gone = StoredRow(KEYS[0], b"x", 2)
     copy.take_whole([], 4)
@@ -299,7 +304,7 @@
 def test_a_copy_ends_at_the_newest_whatever_the_order(
     changes: list[tuple[RowKey, bool]], chance: random.Random
 ) -> None:
-    """Changes, whole reads and copies of peers come in any order, and doubled."""
+    """Changes, whole reads and copies of peers arrive reordered and duplicated."""
     state: dict[RowKey, StoredRow] = {}
     messages = []
     for version, (key, removed) in enumerate(changes, 1):
@@ -312,11 +317,11 @@
         messages.append(("row", [row], version))
         messages.append(("whole", list(state.values()), version))
     newest = messages[-1]
-    told = [message for message in messages if chance.random() < 0.7]
-    told += [newest, *told[:2]]
-    chance.shuffle(told)
+    received = [message for message in messages if chance.random() < 0.7]
+    received += [newest, *received[:2]]
+    chance.shuffle(received)
     copy = TableCopy("t")
-    for kind, rows, version in told:
+    for kind, rows, version in received:
         if kind == "whole":
             copy.take_whole(rows, version)
         elif kind == "row":
@@ -359,7 +364,7 @@
 
 
 def test_requests_under_way_do_not_eject_a_target_again(chance: random.Random) -> None:
-    """Twelve that break at once are one failure of the target, not twelve."""
+    """Twelve requests that break at once count as one failure of the target."""
     fleet = Fleet("me", "a", chance)
     fleet.targets.put(target("t"))
     fleet.targets.put(target("u"))
@@ -376,7 +381,7 @@
 
 
 def test_failures_far_apart_eject_no_target(chance: random.Random) -> None:
-    """One request in some hundred breaks anywhere; that is no reason to avoid it."""
+    """One request in a hundred may break anywhere; that is no reason to eject."""
     fleet = Fleet("me", "a", chance)
     fleet.targets.put(target("t"))
     for number in range(10):
--- a/tests/gateway/test_holders.py
+++ b/tests/gateway/test_holders.py
@@ -1,4 +1,4 @@
-"""When an instance takes a job from another, by what it hears and what it reads."""
+"""When an instance takes over a job, by messages of peers and reads of the store."""
 
 import asyncio
 import random
@@ -28,27 +28,27 @@
 
 PEERS = ["e-1", "e-2"]
 OWN = "e-0.0"
-# One that falls to the instance under test, whoever of the others is heard.
+# A job that hashing assigns to the instance under test, whichever peers are alive.
 JOB = next(
     id
     for id in (f"j{number}" for number in range(100))
     if owner(id, ["e-0", *PEERS]) == "e-0"
 )
 ENTRY = JobEntry(JOB, "work", HOST, 1, 0.0, 1, "items")
-TURNS = 40
+LOOP_ITERATIONS = 40
 
 
 class NoSlots:
-    """Grants nothing; only who holds the job matters here."""
+    """Grants nothing; these tests are only about the holder of the job."""
 
     has_requests = False
 
-    def on_news(self, call: Any) -> None:
+    def on_update(self, call: Any) -> None:
         pass
 
 
-class Keeping:
-    """One keeper on a clock that goes only when it is told to."""
+class KeeperHarness:
+    """One keeper with a clock that the test advances."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.now = loop.time()
@@ -75,7 +75,7 @@
         )
         self._version = 100
 
-    def store_says(self, holder: str) -> None:
+    def write_head(self, holder: str) -> None:
         """Write the head as ``holder`` does when it claims the job."""
         self._version += 1
         key = head_key(JOB)
@@ -84,11 +84,11 @@
 
     @property
     def holder(self) -> str:
-        """Who holds the job as the store says."""
+        """The holder of the job in the store."""
         return from_bytes(JobHead, self.rows.rows_by_key[head_key(JOB)].value).holder
 
-    def hears(self, incarnation: str) -> None:
-        """Hear from a life of a peer."""
+    def receive(self, incarnation: str) -> None:
+        """Receive from an incarnation of a peer."""
         id = incarnation.partition(".")[0]
         members = self.mesh.members_by_id
         member = members.setdefault(id, Member(id, id, "a", self.now))
@@ -98,25 +98,25 @@
         self.mesh.roster.changes += 1
         self.mesh._heard(member, None)
 
-    def loses(self, incarnation: str) -> None:
-        """Find that a life of a peer is silent."""
+    def lose(self, incarnation: str) -> None:
+        """Detect that an incarnation of a peer is silent."""
         member = self.mesh.members_by_id.get(incarnation.partition(".")[0])
         if member is not None and member.lost_at is None:
             self.mesh.lose(member, "it is silent")
 
-    def told(self, holder: str) -> None:
-        """Hear that ``holder`` has the job."""
-        self.keeper._told("e-1", JobNews(JOB, holder, 0))
+    def report_holder(self, holder: str) -> None:
+        """Receive an update that ``holder`` has the job."""
+        self.keeper._handle_update("e-1", JobNews(JOB, holder, 0))
 
     async def check(self) -> bool:
-        """Look for orphans; return whether the job is held here after it."""
+        """Check for orphaned jobs; return whether the job is held here afterwards."""
         self.keeper._claim_orphans(self.now)
-        for _ in range(TURNS):
+        for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
         return JOB in self.keeper.held_by_id
 
     async def check_for(self, seconds: float) -> bool:
-        """Look as often as a keeper does, for so long; stop when the job is held."""
+        """Check at the keeper's interval for ``seconds``, or until the job is held."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + ORPHAN_CHECK_INTERVAL_S)
@@ -125,102 +125,106 @@
         return False
 
     async def end(self) -> None:
-        """End the tasks."""
+        """Cancel the tasks."""
         for task in self.keeper._tasks:
             task.cancel()
         await asyncio.gather(*self.keeper._tasks, return_exceptions=True)
 
 
 @pytest.fixture
-async def keeping() -> Any:
-    made = Keeping(asyncio.get_running_loop())
+async def harness() -> Any:
+    made = KeeperHarness(asyncio.get_running_loop())
     yield made
     await made.end()
 
 
 async def test_a_job_found_held_is_left_alone_when_its_holder_falls_silent_then(
-    keeping: Keeping,
+    harness: KeeperHarness,
 ) -> None:
-    """The time in which the holder before was not heard is none of the new one's."""
-    keeping.hears("e-1.1")
-    keeping.told("e-1.1")
-    keeping.loses("e-1.1")
-    assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    keeping.hears("e-2.1")
-    keeping.store_says("e-2.1")
-    assert not await keeping.check_for(0.2)  # it finds the job held
-    keeping.loses("e-2.1")
-    assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    assert await keeping.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
+    """The silence of the previous holder does not count for the new one."""
+    harness.receive("e-1.1")
+    harness.report_holder("e-1.1")
+    harness.lose("e-1.1")
+    assert not await harness.check_for(TAKEOVER_AFTER_S - 0.1)
+    harness.receive("e-2.1")
+    harness.write_head("e-2.1")
+    assert not await harness.check_for(0.2)  # it learns that the job is held
+    harness.lose("e-2.1")
+    assert not await harness.check_for(TAKEOVER_AFTER_S - 0.1)
+    assert await harness.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_a_holder_that_only_the_store_knows_of_has_its_time(
-    keeping: Keeping,
+    harness: KeeperHarness,
 ) -> None:
-    keeping.hears("e-1.1")
-    keeping.hears("e-2.1")
-    keeping.told("e-1.1")
-    keeping.loses("e-1.1")
-    assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    keeping.loses("e-2.1")
-    keeping.store_says("e-2.1")
-    assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    assert await keeping.check_for(3 * ORPHAN_CHECK_INTERVAL_S)
+    harness.receive("e-1.1")
+    harness.receive("e-2.1")
+    harness.report_holder("e-1.1")
+    harness.lose("e-1.1")
+    assert not await harness.check_for(TAKEOVER_AFTER_S - 0.1)
+    harness.lose("e-2.1")
+    harness.write_head("e-2.1")
+    assert not await harness.check_for(TAKEOVER_AFTER_S - 0.1)
+    assert await harness.check_for(3 * ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_late_news_that_a_job_was_given_up_takes_nothing_from_who_has_it(
-    keeping: Keeping,
+    harness: KeeperHarness,
 ) -> None:
-    keeping.hears("e-2.1")
-    keeping.store_says("e-2.1")
-    keeping.told("e-2.1")
-    assert not await keeping.check_for(ORPHAN_CHECK_INTERVAL_S)
-    keeping.loses("e-2.1")
-    keeping.told("")
-    assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    assert await keeping.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
-
-
-async def test_a_job_of_a_life_that_is_over_is_taken_at_once(keeping: Keeping) -> None:
-    """A later life of the same instance has said hello."""
-    keeping.hears("e-1.1")
-    keeping.store_says("e-1.1")
-    keeping.told("e-1.1")
-    assert not await keeping.check_for(ORPHAN_CHECK_INTERVAL_S)
-    keeping.hears("e-1.2")
-    assert await keeping.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
+    harness.receive("e-2.1")
+    harness.write_head("e-2.1")
+    harness.report_holder("e-2.1")
+    assert not await harness.check_for(ORPHAN_CHECK_INTERVAL_S)
+    harness.lose("e-2.1")
+    harness.report_holder("")
+    assert not await harness.check_for(TAKEOVER_AFTER_S - 0.1)
+    assert await harness.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
+
+
+async def test_a_job_of_a_life_that_is_over_is_taken_at_once(
+    harness: KeeperHarness,
+) -> None:
+    """A later incarnation of the same instance is alive."""
+    harness.receive("e-1.1")
+    harness.write_head("e-1.1")
+    harness.report_holder("e-1.1")
+    assert not await harness.check_for(ORPHAN_CHECK_INTERVAL_S)
+    harness.receive("e-1.2")
+    assert await harness.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_after_all_were_lost_jobs_are_taken_as_soon_as_they_are_back(
-    keeping: Keeping,
+    harness: KeeperHarness,
 ) -> None:
-    """Nobody knows the holder, and the store names one that has started again."""
-    keeping.store_says("e-1.1")
-    keeping.hears("e-1.2")
-    assert await keeping.check_for(TAKEOVER_AFTER_S - ORPHAN_CHECK_INTERVAL_S)
+    """No instance knows the holder; the store names one that has restarted."""
+    harness.write_head("e-1.1")
+    harness.receive("e-1.2")
+    assert await harness.check_for(TAKEOVER_AFTER_S - ORPHAN_CHECK_INTERVAL_S)
 
 
-async def test_a_job_of_the_own_life_before_is_taken_at_once(keeping: Keeping) -> None:
-    keeping.store_says("e-0.old")
-    assert await keeping.check_for(TAKEOVER_AFTER_S - ORPHAN_CHECK_INTERVAL_S)
+async def test_a_job_of_the_own_life_before_is_taken_at_once(
+    harness: KeeperHarness,
+) -> None:
+    harness.write_head("e-0.old")
+    assert await harness.check_for(TAKEOVER_AFTER_S - ORPHAN_CHECK_INTERVAL_S)
 
 
 async def test_a_job_of_who_is_never_heard_is_taken_no_later_than_before(
-    keeping: Keeping,
+    harness: KeeperHarness,
 ) -> None:
-    keeping.store_says("e-1.1")
-    assert not await keeping.check_for(TAKEOVER_AFTER_S - 0.1)
-    assert await keeping.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
+    harness.write_head("e-1.1")
+    assert not await harness.check_for(TAKEOVER_AFTER_S - 0.1)
+    assert await harness.check_for(2 * ORPHAN_CHECK_INTERVAL_S)
 
 
 LIVES = ["e-1.1", "e-1.2", "e-2.1", "e-2.2"]
-# Looks of the keeper in a row; with five a holder has almost been silent for too long.
-MOST_LOOKS = 5
+# Consecutive checks; after five a holder has almost been silent long enough.
+MAX_CHECKS = 5
 moves = st.lists(
     st.tuples(
-        st.sampled_from(["hears", "loses", "told", "store_says"]),
+        st.sampled_from(["receive", "lose", "report_holder", "write_head"]),
         st.sampled_from([*LIVES, ""]),
-        st.integers(0, MOST_LOOKS),
+        st.integers(0, MAX_CHECKS),
     ),
     max_size=20,
 )
@@ -231,32 +235,32 @@
 def test_no_job_is_taken_from_a_life_that_was_heard_lately(
     moves: list[tuple[str, str, int]],
 ) -> None:
-    """Unless a later life of the same instance is heard by then."""
+    """Unless a later incarnation of the same instance is alive by then."""
     asyncio.run(_play(moves))
 
 
 async def _play(moves: list[tuple[str, str, int]]) -> None:
-    keeping = Keeping(asyncio.get_running_loop())
-    heard_at: dict[str, float] = {}
-    speaking: dict[str, str] = {}
-    keeping.store_says("e-1.1")
-    for move, life, looks in moves:
+    harness = KeeperHarness(asyncio.get_running_loop())
+    received_at: dict[str, float] = {}
+    alive_by_peer: dict[str, str] = {}
+    harness.write_head("e-1.1")
+    for move, life, checks in moves:
         peer = life.partition(".")[0]
-        if move in ("told", "store_says") or life:
-            getattr(keeping, move)(life)
-        if move == "loses":
-            speaking.pop(peer, None)
-        elif move == "hears" and life:
-            speaking[peer] = life
-        for _ in range(looks):
-            heard_at |= dict.fromkeys(speaking.values(), keeping.now)
-            keeping.now += ORPHAN_CHECK_INTERVAL_S
-            before = keeping.holder
-            if not await keeping.check():
+        if move in ("report_holder", "write_head") or life:
+            getattr(harness, move)(life)
+        if move == "lose":
+            alive_by_peer.pop(peer, None)
+        elif move == "receive" and life:
+            alive_by_peer[peer] = life
+        for _ in range(checks):
+            received_at |= dict.fromkeys(alive_by_peer.values(), harness.now)
+            harness.now += ORPHAN_CHECK_INTERVAL_S
+            before = harness.holder
+            if not await harness.check():
                 continue
-            replaced = speaking.get(before.partition(".")[0], before) != before
-            silent_s = keeping.now - heard_at.get(before, float("-inf"))
+            replaced = alive_by_peer.get(before.partition(".")[0], before) != before
+            silent_s = harness.now - received_at.get(before, float("-inf"))
             assert before == "" or replaced or silent_s >= TAKEOVER_AFTER_S
-            await keeping.end()
+            await harness.end()
             return
-    await keeping.end()
+    await harness.end()
--- a/tests/gateway/test_item_events.py
+++ b/tests/gateway/test_item_events.py
@@ -1,12 +1,9 @@
-"""Events of items, which nobody waits for one by one.
+"""Events of items are read in batches.
 
-Seen on a deployment of 63 instances that ran some 125 items at a time: each event of an
-item, one every 33 ms, woke the task of its run for a few bytes of text, as often as the
-events of all online streams. The instances needed more processor time than they had.
-
-Items were read in the way of online streams, whose callers wait for each event; of an
-item only the whole output and progress every second or so are used. Counting reads and
-events of runs showed one read for each event.
+Guards against one read per event, as for online streams, whose callers wait for each
+event. Of an item only the whole output and periodic progress are used. With 63
+instances and some 125 running items, each event, one every 33 ms per item, woke a task
+for a few bytes, and the instances ran out of CPU time.
 """
 
 import asyncio
@@ -22,19 +19,19 @@
 EVENTS = 40
 # Longer than any test waits.
 NEVER_S = 60.0
-# Turns of the loop in which what was sent on loopback has surely come.
-TURNS = 10
+# Iterations of the event loop within which data sent on loopback has arrived.
+LOOP_ITERATIONS = 10
 
 
 class Reads(list):
-    """How many bytes each read of an item's events brought."""
+    """Sizes of the reads of an item's events, in bytes."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
         reads = self
 
         class Splitter(EventSplitter):
-            """Notes each read."""
+            """Records each read."""
 
             __slots__ = ()
 
@@ -62,7 +59,7 @@
 async def test_an_item_ends_with_its_stream_however_long_events_are_gathered(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(item_runs, "GATHER_EVENTS_S", NEVER_S, raising=False)
+    monkeypatch.setattr(item_runs, "EVENT_BATCH_S", NEVER_S, raising=False)
     runner = await world.add_runner()
     runner.events = EVENTS
     instance = await world.add_instance()
@@ -75,8 +72,8 @@
 async def test_an_item_that_gives_way_keeps_the_events_that_had_come(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(item_runs, "GATHER_EVENTS_S", NEVER_S, raising=False)
-    monkeypatch.setattr(item_runs, "EVENT_S", NEVER_S)
+    monkeypatch.setattr(item_runs, "EVENT_BATCH_S", NEVER_S, raising=False)
+    monkeypatch.setattr(item_runs, "EVENT_TIMEOUT_S", NEVER_S)
     runner = await world.add_runner()
     runner.events = EVENTS
     runner.silent_after = EVENTS // 2
@@ -84,7 +81,7 @@
     await world.ready()
     assert (await world.submit(instance, "j1", ["x1"])).status == 202
     await until(lambda: runner.runs and runner.runs[0].sent == EVENTS // 2)
-    for _ in range(TURNS):
+    for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0)
     (job,) = instance.keeper.held_jobs()
     job.states[0].cancel()
--- a/tests/gateway/test_item_leases.py
+++ b/tests/gateway/test_item_leases.py
@@ -1,13 +1,12 @@
-"""Runs of items that end by themselves when their holder is gone.
+"""Leases of runs: a run ends soon after its holder is lost.
 
-Seen on a deployment of five targets of eight slots: after all instances had lost power
-for 1.4 s, the items that had run went on at their targets for up to 5 s, the length of
-a whole run, and nobody read them. A burst of 35 requests a second met 24 slots of which
-some 20 were taken: of 71 requests 10 were in time, and the items, run again, were late.
-The log shows it as `orphaned runs`, 224 lines in two seconds.
+Guards against orphaned runs that occupy slots. After all instances had lost power for
+1.4 s, their items ran on at the targets for up to 5 s, a whole run. A burst of 35
+requests/s met 24 slots of which some 20 were taken: of 71 requests 10 were in time, and
+the items, run again, were late. The log shows `orphaned runs`, 224 lines in 2 s.
 
-A target stops a request at the deadline that it is given. So a run is given a short
-one and goes on behind its last event under the next.
+A target stops a request at its deadline. So each run has a short deadline, and the item
+resumes after its last event in a new run.
 """
 
 import asyncio
@@ -15,12 +14,12 @@
 import pytest
 
 from caperridge.gateway.jobs import item_runs
-from caperridge.gateway.jobs.item_runs import LEASE_S, RENEW_S
+from caperridge.gateway.jobs.item_runs import LEASE_S, RENEW_AFTER_S
 from caperridge.measure.scarcity_model import Outcome, Play, Policy
 from gateway.conftest import ROUTES, World, until
 from gateway.test_jobs import listed
 
-# The day that showed it: all lost power half a second before a burst.
+# All instances lose power half a second before a burst.
 SLOTS = 24
 LOST_AT_S = 43.5
 AFTER_S = 5.0
@@ -30,9 +29,9 @@
 
 @pytest.fixture
 def renewed_often(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have each run renew its lease as soon as it has events."""
-    monkeypatch.setattr(item_runs, "RENEW_S", 0.0)
-    monkeypatch.setattr(item_runs, "GATHER_EVENTS_S", 0.02)
+    """Let each run renew its lease as soon as it has events."""
+    monkeypatch.setattr(item_runs, "RENEW_AFTER_S", 0.0)
+    monkeypatch.setattr(item_runs, "EVENT_BATCH_S", 0.02)
 
 
 async def test_a_run_ends_soon_after_it_was_last_renewed(world: World) -> None:
@@ -41,9 +40,9 @@
     await world.ready()
     await world.submit(instance, "j1", ["x1"])
     await listed(world, instance, "j1", 1)
-    given_ms = [int(run.headers["X-Deadline-Ms"]) for run in runner.runs]
-    assert given_ms == [LEASE_S * 1000]
-    assert RENEW_S < LEASE_S
+    deadlines_ms = [int(run.headers["X-Deadline-Ms"]) for run in runner.runs]
+    assert deadlines_ms == [LEASE_S * 1000]
+    assert RENEW_AFTER_S < LEASE_S
 
 
 @pytest.mark.usefixtures("renewed_often")
@@ -58,8 +57,8 @@
     (result,) = await listed(world, instance, "j1", 1)
     assert result["message"] == "\n".join(runner.text("x1"))
     assert len(runner.runs) > 2
-    begun = [run.resumed_after for run in runner.runs]
-    assert begun == sorted(set(begun))
+    resumed = [run.resumed_after for run in runner.runs]
+    assert resumed == sorted(set(resumed))
     assert runner.most_busy == 1
 
 
@@ -76,10 +75,10 @@
     other.pause_s = 0.0
     world.list_runner(leaving, state="draining")
     await until(lambda: bool(other.runs))
-    begun = len(leaving.runs)
+    started = len(leaving.runs)
     assert other.runs[0].resumed_after > 0
     await asyncio.sleep(0.1)
-    assert len(leaving.runs) == begun
+    assert len(leaving.runs) == started
 
 
 @pytest.mark.usefixtures("renewed_often")
@@ -94,13 +93,13 @@
     world.configure(2, moved)
     await until(lambda: instance.configuration.table.version == 2)
     await until(lambda: runner.busy == 0)
-    begun = len(runner.runs)
+    started = len(runner.runs)
     await asyncio.sleep(0.1)
-    assert len(runner.runs) == begun
+    assert len(runner.runs) == started
 
 
 def played(lease_s: float) -> Outcome:
-    """Return what the seconds around the loss came to, at several seeds."""
+    """Return the total outcome of the seconds around the loss, for several seeds."""
     total = Outcome()
     for seed in SEEDS:
         policy = Policy(lease_s=lease_s)
@@ -110,7 +109,7 @@
 
 
 def test_more_is_in_time_after_a_loss_where_runs_end_by_themselves() -> None:
-    leased, whole_runs = played(LEASE_S), played(0.0)
-    assert leased.asked == whole_runs.asked
-    assert leased.in_time > whole_runs.in_time
-    assert leased.refused < whole_runs.refused
+    leased, unleased = played(LEASE_S), played(0.0)
+    assert leased.asked == unleased.asked
+    assert leased.in_time > unleased.in_time
+    assert leased.refused < unleased.refused
