--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs: kept once, each item done once, results at fixed positions everywhere."""
+"""Jobs: accepted once, each item done once, the same results at every instance."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 import pytest
 
 from caperridge.decisions.rendezvous import owner
-from caperridge.gateway.jobs.broker import FULL_FOR_S, SlotBroker, Want
+from caperridge.gateway.jobs.broker import FULL_TARGET_PAUSE_S, SlotBroker, SlotRequest
 from caperridge.gateway.mesh.messages import SlotDecline, SlotGrant
 from caperridge.gateway.occupancy import Count, Occupancy
 from gateway.conftest import World, route, until
@@ -197,7 +197,7 @@
 
 
 async def test_an_item_at_targets_that_hang_is_not_given_up(world: World) -> None:
-    # Guards against items said to be dead because the leases of their runs ended.
+    # Guards against items marked dead because the leases of their runs ended.
     runner = await world.add_runner()
     runner.status = 504
     instance = await world.add_instance()
@@ -242,18 +242,18 @@
 async def test_an_item_that_gives_way_before_its_first_step_runs_again(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A task that is cancelled before it began ran nothing that settles it."""
+    """A task cancelled before its first step runs no code that ends the run."""
     instance = await world.add_instance()
     await until(lambda: instance.ready)
     await world.submit(instance, "j1", ["x1"])
     held = instance.keeper.held_by_id
     await until(lambda: "j1" in held)
     runner = await world.add_runner(slots=1)
-    monkeypatch.setattr(instance.granting, "step", lambda jobs, now: None)
+    monkeypatch.setattr(instance.granting, "request_and_grant", lambda jobs, now: None)
     await until(lambda: instance.fleet.targets.by_id)
     target = instance.fleet.targets.by_id[runner.id]
     now = asyncio.get_running_loop().time()
-    assert instance.keeper._slots.start_at(list(held.values()), target, now)
+    assert instance.keeper._slots.start_item(list(held.values()), target, now)
     held["j1"].states[0].cancel()
     monkeypatch.undo()
     (result,) = await listed(world, instance, "j1", 1)
@@ -270,7 +270,7 @@
     await until(lambda: runner.busy == 3)
     second = await world.add_instance()
     await until(lambda: second.ready)
-    second.mesh.alive = list  # it believes to be alone
+    second.mesh.alive = list  # it sees no live peers
     second.mesh.incarnation_alive = lambda incarnation: False
     await until(lambda: "j1" in second.keeper.held_by_id)
     await until(lambda: "j1" not in first.keeper.held_by_id)
@@ -315,20 +315,20 @@
     runner = await world.add_runner()
     instances = [await world.add_instance() for _ in range(2)]
     await world.ready()
-    turned_away = instances[0]
-    await until(lambda: all(m.store_reached for m in turned_away.mesh.alive()))
-    world.store_of(turned_away)._base = "http://127.0.0.1:1"
-    assert (await world.submit(turned_away, "j1", ITEMS)).status == 202
-    assert len(await listed(world, turned_away, "j1", 3)) == 3
+    rejected = instances[0]
+    await until(lambda: all(m.store_reached for m in rejected.mesh.alive()))
+    world.store_of(rejected)._base = "http://127.0.0.1:1"
+    assert (await world.submit(rejected, "j1", ITEMS)).status == 202
+    assert len(await listed(world, rejected, "j1", 3)) == 3
     assert sorted(run.id for run in runner.runs) == ITEMS
-    body = await world.call(turned_away, "GET", "/items/j1?id=x1")
+    body = await world.call(rejected, "GET", "/items/j1?id=x1")
     assert body.body == b"body of x1"
 
 
 async def test_a_claim_whose_answer_is_lost_is_taken_up_by_who_made_it(
     world: World,
 ) -> None:
-    """The head names an instance that does not know, and another is to take over."""
+    """The holder in the head does not know that it holds the job."""
     await world.add_runner()
     instances = [await world.add_instance() for _ in range(2)]
     await world.ready()
@@ -362,7 +362,7 @@
 async def test_a_job_taken_through_a_peer_by_a_fresh_instance_is_not_old(
     world: World,
 ) -> None:
-    """An instance that never reached the store itself does not know its time."""
+    """An instance that never reached the store itself does not know its clock."""
     await world.add_runner()
     first = await world.add_instance()
     await world.ready()
@@ -381,23 +381,23 @@
 async def test_a_grant_for_a_slot_that_is_taken_is_not_repeated_at_once(
     world: World,
 ) -> None:
-    """The granter may not know of requests that the instance it grants to knows of."""
+    """The granter may lack counts of requests that the grantee has received."""
     runner = await world.add_runner(slots=1)
     instance = await world.add_instance()
     await world.ready()
     instance.fleet.occupancy.told("elsewhere", runner.id, Count(1, 0))
-    declined = []
-    instance.mesh.send = lambda peer, message: declined.append(message)
-    instance.keeper._granted("granter", SlotGrant(runner.id))
-    assert declined == [SlotDecline(runner.id, full=True)]
+    sent = []
+    instance.mesh.send = lambda peer, message: sent.append(message)
+    instance.keeper._handle_grant("granter", SlotGrant(runner.id))
+    assert sent == [SlotDecline(runner.id, full=True)]
     now = asyncio.get_running_loop().time()
     broker = SlotBroker("granter")
-    broker.wants("peer", {"model": Want(1, 0.0)})
+    broker.set_requests("peer", {"model": SlotRequest(1, 0.0)})
     targets = list(instance.fleet.targets.by_id.values())
     assert broker.grant(targets, Occupancy("granter"), 0.0, now)
-    broker.declined_as_full("peer", runner.id, now)
+    broker.record_full("peer", runner.id, now)
     assert not broker.grant(targets, Occupancy("granter"), 0.0, now + 0.01)
-    later = now + FULL_FOR_S + 0.01
+    later = now + FULL_TARGET_PAUSE_S + 0.01
     assert broker.grant(targets, Occupancy("granter"), 0.0, later)
 
 
@@ -405,7 +405,7 @@
 async def test_a_target_that_refuses_everything_keeps_no_item_from_others(
     world: World, instances: int
 ) -> None:
-    """It always looks the freest, so every item was offered to it, for ever."""
+    """It always has the most free slots, so every item was sent to it repeatedly."""
     refusing = await world.add_runner(slots=8)
     refusing.refuse = True
     taking = await world.add_runner(slots=1)
@@ -422,7 +422,7 @@
 async def test_slots_that_lost_instances_left_busy_are_not_taken_for_free(
     world: World,
 ) -> None:
-    """An instance without power closes nothing; its runs go on at their targets."""
+    """Runs of an instance that lost power continue at their targets."""
     runner = await world.add_runner(slots=3)
     runner.leftover = 2
     instance = await world.add_instance()
@@ -452,13 +452,13 @@
     for instance in instances:
         entries = instance.index.entries_by_job
         await until(lambda known=entries: "j1" in known and not known["j1"].open)
-    assert [one.sweeper.due() for one in instances] == [[], []]
+    assert [one.sweeper.expired_jobs() for one in instances] == [[], []]
     later = instances[0].clock.now() + 200.0
     for instance in instances:
         monkeypatch.setattr(instance.clock, "now", lambda: later)
-    due = [one for one in instances if one.sweeper.due()]
+    due = [one for one in instances if one.sweeper.expired_jobs()]
     assert len(due) == 1
-    for entry in due[0].sweeper.due():
+    for entry in due[0].sweeper.expired_jobs():
         await due[0].sweeper._sweep(entry)
     assert world.store.objects == {}
     kept = [key for key in world.store.rows if key[0] in ("jobs", "job-index")]
--- a/tests/gateway/test_looks.py
+++ b/tests/gateway/test_looks.py
@@ -1,12 +1,9 @@
-"""Looking at what could start, which nearly all news leaves as it was.
+"""Checks for items that could start, coalesced over many changes of counts.
 
-Seen on a deployment of 63 instances: an instance that held jobs looked 80 times a
-second at what its items could start, which was 16 % of its time, though some twenty
-items a second started in the whole fleet.
-
-Each count that was heard from any peer, also of a request that began, woke the look,
-and changes were gathered for 1 ms only, so that each had a look of its own. A profile
-and a count of looks told it.
+Guards against a check for each count received from a peer, also for each start of a
+request: changes were coalesced over 1 ms only. With 63 instances, one that held jobs
+checked 80 times a second, 16 % of its time, though only some twenty items a second
+started in the whole fleet.
 """
 
 import asyncio
@@ -23,25 +20,25 @@
 SLOTS = 8
 CHANGES = 100
 CHANGE_S = 0.002
-# Looks that other things than counts ask for, such as the look now and then.
-OTHER_LOOKS = 4
-LONGEST_LOOKS_S = 0.02
+# Checks with other causes than counts, such as the periodic check.
+OTHER_CHECKS = 4
+MIN_MEAN_INTERVAL_S = 0.02
 # Longer than any test waits.
 NEVER_S = 60.0
 
 
-class Looks:
-    """Counts the looks at what could start."""
+class Checks:
+    """Counts the checks for items that could start."""
 
     def __init__(self, instance: GatewayInstance) -> None:
         self.count = 0
-        step = instance.granting.step
+        step = instance.granting.request_and_grant
 
         def counted(jobs, now) -> None:
             self.count += 1
             step(jobs, now)
 
-        instance.granting.step = counted
+        instance.granting.request_and_grant = counted
 
 
 async def test_counts_that_come_in_a_row_are_looked_at_together(world: World) -> None:
@@ -51,43 +48,43 @@
     _tell_online(instance, runner.id, SLOTS)
     assert (await world.submit(instance, "j1", ["x1"])).status == 202
     await until(lambda: instance.keeper.held_jobs())
-    looks = Looks(instance)
+    checks = Checks(instance)
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     for change in range(CHANGES):
         _tell_online(instance, runner.id, SLOTS + change % 2)
         await asyncio.sleep(CHANGE_S)
-    took_s = loop.time() - began
-    assert 0 < looks.count <= took_s / LONGEST_LOOKS_S + OTHER_LOOKS
+    took_s = loop.time() - started_at
+    assert 0 < checks.count <= took_s / MIN_MEAN_INTERVAL_S + OTHER_CHECKS
 
 
 @pytest.fixture
-def no_more_looks(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
-    """Return what lets one more look come, and none after it."""
+def no_more_checks(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
+    """Return a function after which at most one more check runs."""
 
     def stop() -> None:
-        monkeypatch.setattr(keeper, "LOOK_S", NEVER_S)
+        monkeypatch.setattr(keeper, "MIN_CHECK_INTERVAL_S", NEVER_S)
         monkeypatch.setattr(keeper, "ORPHAN_CHECK_INTERVAL_S", NEVER_S)
 
     return stop
 
 
 async def test_an_item_gives_way_at_once_also_right_after_a_look(
-    world: World, no_more_looks: Callable[[], None]
+    world: World, no_more_checks: Callable[[], None]
 ) -> None:
     runner, instance = await _with_an_item(world, SLOTS)
-    no_more_looks()
-    await _last_look(instance)
+    no_more_checks()
+    await _last_check(instance)
     _tell_online(instance, runner.id, SLOTS)
     await until(lambda: runner.runs[0].cut, within_s=1.0)
 
 
 async def test_an_item_gives_way_to_an_own_request_without_a_look(
-    world: World, no_more_looks: Callable[[], None]
+    world: World, no_more_checks: Callable[[], None]
 ) -> None:
     runner, instance = await _with_an_item(world, 1)
-    no_more_looks()
-    await _last_look(instance)
+    no_more_checks()
+    await _last_check(instance)
     runner.silent_after = None
     answer = await world.ask(instance, "/ask/1", "q1")
     assert answer.data == runner.text("q1")
@@ -97,7 +94,7 @@
 async def _with_an_item(
     world: World, slots: int
 ) -> tuple[RunnerStandin, GatewayInstance]:
-    """Return a runner of so many slots and the instance whose item runs there."""
+    """Return a runner with ``slots`` slots and the instance whose item runs there."""
     runner = await world.add_runner(slots=slots)
     runner.silent_after = 2
     instance = await world.add_instance()
@@ -107,12 +104,12 @@
     return runner, instance
 
 
-async def _last_look(instance: GatewayInstance) -> None:
-    looks = Looks(instance)
+async def _last_check(instance: GatewayInstance) -> None:
+    checks = Checks(instance)
     instance.keeper.schedule_check()
-    await until(lambda: looks.count > 0)
+    await until(lambda: checks.count > 0)
 
 
 def _tell_online(instance: GatewayInstance, target: str, online: int) -> None:
-    """Have the instance hear of online requests that others have at ``target``."""
+    """Receive a count of online requests of other instances at ``target``."""
     instance.news._counts("others", Counts([[target, online, 0, 0.0]]))
--- a/tests/gateway/test_takeover.py
+++ b/tests/gateway/test_takeover.py
@@ -1,4 +1,4 @@
-"""Holding a job by turns: results stand where they were listed, whoever lists them."""
+"""Successive holders of a job: listed results keep their positions."""
 
 import asyncio
 
@@ -44,18 +44,18 @@
 
 
 class Peers:
-    """What one instance believes of the others: all lost, or all heard from."""
+    """One instance's view of the others: all lost, or all alive."""
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.hears_others = False
+        self.others_alive = False
 
     def incarnation_alive(self, incarnation: str) -> bool:
-        return incarnation == self.incarnation or self.hears_others
+        return incarnation == self.incarnation or self.others_alive
 
 
 class Instance:
-    """Claims the job, runs its items and writes what came, as it is told to."""
+    """Claims the job, runs its items and writes results, step by step."""
 
     def __init__(self, store: MemoryRows, incarnation: str) -> None:
         self.peers = Peers(incarnation)
@@ -69,7 +69,7 @@
             self.held = claim if isinstance(claim, HeldJob) else self.held
             return
         if step in ("hear", "lose"):
-            self.peers.hears_others = step == "hear"
+            self.peers.others_alive = step == "hear"
             return
         job = self.held
         if job is None or job.finished:
@@ -94,7 +94,7 @@
             return
         number = state.progress.event + 1
         raw = f"id: {number}\ndata: {state.item.id}.{number}\n\n".encode()
-        assert state.take([Event(number, raw)])
+        assert state.append_events([Event(number, raw)])
         if number == EVENTS:
             job.complete(state)
 
@@ -102,12 +102,12 @@
 @pytest.fixture(scope="module")
 def no_pauses() -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(keeping, "PAUSE_S", 0.0)
-        patch.setattr(keeping, "LONGEST_PAUSE_S", 0.0)
+        patch.setattr(keeping, "MIN_RETRY_DELAY_S", 0.0)
+        patch.setattr(keeping, "MAX_RETRY_DELAY_S", 0.0)
         yield
 
 
-# Those that come more than once are as much more likely.
+# Repeated steps are more likely.
 STEPS = [
     *("claim", "claim", "run", "finish", "finish", "write", "write", "write"),
     *("give up", "hear", "lose"),
@@ -135,7 +135,7 @@
     fates: list[int],
     pauses: list[int],
 ) -> None:
-    """Three hold the job by turns, and believe of each other what they will."""
+    """Three instances hold the job in turn, with arbitrary views of each other."""
     asyncio.run(_play(steps_by_instance, fates, pauses))
 
 
