--- a/src/caperridge/decisions/plain_calls.py
+++ b/src/caperridge/decisions/plain_calls.py
@@ -15,13 +15,13 @@
 DONE = "done"
 LOST = "lost"
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 # Longer than any call lasts, and than clocks of instances differ by.
-MOST_RUNNING_S = 120.0
-COME_BACK_S = 1.0
-KEPT_S = 7 * 86400.0  # how long a key is remembered
+MAX_RUNNING_S = 120.0
+RETRY_AFTER_S = 1.0
+KEY_RETENTION_S = 7 * 86400.0  # how long a key is remembered
 # A call whose claim cannot be looked up may have run under the same key before.
-UNCLAIMED_RUN = UNKNOWN
+UNREADABLE_CLAIM_RUN = UNKNOWN
 
 
 class CallClaim(Record):
@@ -82,7 +82,7 @@
         self.reason = reason
 
 
-class OtherCall(Record):
+class KeyReused(Record):
     """The key names a call with another method, path or body."""
 
     __slots__ = ()
@@ -116,7 +116,7 @@
         self.reason = reason
 
 
-ResendAction = OtherCall | AnswerRecorded | StillRunning | OutcomeUnknown
+ResendAction = KeyReused | AnswerRecorded | StillRunning | OutcomeUnknown
 
 
 def call_digest(method: str, path: str, body: bytes) -> str:
@@ -141,35 +141,35 @@
         now: seconds since the epoch.
     """
     if claim.digest != digest:
-        return OtherCall()
+        return KeyReused()
     if claim.state == DONE:
         return AnswerRecorded(claim)
     if claim.state == LOST:
         return OutcomeUnknown(claim.request, claim.reason)
     if not holder_alive:
         return OutcomeUnknown(claim.request, "the instance that sent it is gone")
-    if now - claim.started > MOST_RUNNING_S:
+    if now - claim.started > MAX_RUNNING_S:
         return OutcomeUnknown(claim.request, "its outcome was never recorded")
     return StillRunning(claim.request)
 
 
-def may_forget(claim: CallClaim, now: float) -> bool:
+def is_expired(claim: CallClaim, now: float) -> bool:
     """Return whether the key was remembered for long enough.
 
     Args:
         claim: as read.
         now: seconds since the epoch.
     """
-    return now - max(claim.started, claim.ended) > KEPT_S
+    return now - max(claim.started, claim.ended) > KEY_RETENTION_S
 
 
-class Answer(Record):
+class ReturnAnswer(Record):
     """Give the caller the target's answer."""
 
     __slots__ = ()
 
 
-class Move(Record):
+class RetryElsewhere(Record):
     """Try another target."""
 
     __slots__ = ("reason",)
@@ -178,7 +178,7 @@
         self.reason = reason
 
 
-class GiveUp(Record):
+class RefuseCall(Record):
     """Refuse now; ``run`` is true of all attempts together."""
 
     __slots__ = ("code", "reason", "run", "status")
@@ -190,7 +190,7 @@
         self.run = run
 
 
-class CallCourse:
+class CallAttempts:
     """The attempts of one call so far.
 
     Args:
@@ -211,12 +211,12 @@
         self._believes = believes_not_run
         self._budget = budget
 
-    def not_sent(self, reason: str) -> Move | GiveUp:
+    def record_not_sent(self, reason: str) -> RetryElsewhere | RefuseCall:
         """No byte left for the target."""
         self.attempts += 1
         return self._next(reason)
 
-    def lost(self, reason: str) -> Move | GiveUp:
+    def record_lost(self, reason: str) -> RetryElsewhere | RefuseCall:
         """The target may have run it, and there is no whole answer."""
         self.attempts += 1
         self.may_have_run = True
@@ -226,41 +226,43 @@
             return self._lost(f"{reason}; too many calls fail to try again")
         return self._next(reason)
 
-    def answered(self, status: int, run: str) -> Answer | Move | GiveUp:
+    def record_answer(
+        self, status: int, run: str
+    ) -> ReturnAnswer | RetryElsewhere | RefuseCall:
         """The target answered; ``run`` is its word on a refusal, or empty."""
         self.attempts += 1
         if status not in (429, 503):
-            return Answer()
+            return ReturnAnswer()
         if run == NOT_RUN and self._believes:
             return self._next("the target says not run")
         self.may_have_run = True
-        last = self.attempts >= MOST_ATTEMPTS
+        last = self.attempts >= MAX_ATTEMPTS
         if self._repeatable and not last and self._budget.take():
-            return Move(f"the target refused with {status}")
+            return RetryElsewhere(f"the target refused with {status}")
         if run == NOT_RUN:
             # Its word does not count, so it must not reach the caller either.
             text = f"the target refused with {status}"
-            return GiveUp("target_refused", text, status, UNKNOWN)
-        return Answer()
+            return RefuseCall("target_refused", text, status, UNKNOWN)
+        return ReturnAnswer()
 
-    def no_target(self) -> GiveUp:
+    def refuse_no_target(self) -> RefuseCall:
         """No target is left to try."""
         if self.may_have_run:
             return self._lost("no other target can take it")
-        return GiveUp("no_target", "no target can take it now", 503, NOT_RUN)
+        return RefuseCall("no_target", "no target can take it now", 503, NOT_RUN)
 
-    def too_large(self, reason: str) -> GiveUp:
+    def refuse_too_large(self, reason: str) -> RefuseCall:
         """The target answered more than is passed on."""
         self.attempts += 1
-        return GiveUp("answer_too_large", reason, 502, UNKNOWN)
+        return RefuseCall("answer_too_large", reason, 502, UNKNOWN)
 
-    def _next(self, reason: str) -> Move | GiveUp:
-        if self.attempts < MOST_ATTEMPTS:
-            return Move(reason)
+    def _next(self, reason: str) -> RetryElsewhere | RefuseCall:
+        if self.attempts < MAX_ATTEMPTS:
+            return RetryElsewhere(reason)
         if self.may_have_run:
             return self._lost(reason)
         text = f"{self.attempts} targets did not take it; the last: {reason}"
-        return GiveUp("attempts_used_up", text, 503, NOT_RUN)
+        return RefuseCall("attempts_used_up", text, 503, NOT_RUN)
 
-    def _lost(self, reason: str) -> GiveUp:
-        return GiveUp("answer_lost", reason, 502, UNKNOWN)
+    def _lost(self, reason: str) -> RefuseCall:
+        return RefuseCall("answer_lost", reason, 502, UNKNOWN)
--- a/src/caperridge/decisions/runner_headroom.py
+++ b/src/caperridge/decisions/runner_headroom.py
@@ -5,15 +5,15 @@
 from caperridge.decisions.batch_share import FirstTokenGuard
 from caperridge.decisions.burst import BurstEstimate
 from caperridge.decisions.online_counts import OnlineCounts
-from caperridge.decisions.step_time import StepTime
+from caperridge.decisions.step_time import StepTimeModel
 
 FIRST_REACTION_S = 0.02
 FIRST_STEP_S = 0.03
 MOST_HOLD_STEPS = 3.0
 HOLD_STEPS_SPAN = 2.0  # fewer steps the more the trade is for throughput
 MOST_PAUSE_STEPS = 2.0  # after an arrival; none where the trade is for throughput
-MOST_PUT_OFF_STEPS = 6.0
-PEERS_KEEP_S = 30.0  # places are kept so long after the last request of a peer
+MAX_DEFERRAL_STEPS = 6.0
+PEER_RESERVE_S = 30.0  # places are kept so long after the last request of a peer
 
 
 class RunnerHeadroom:
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.counts = OnlineCounts()
         self.burst = BurstEstimate()
-        self.steps = StepTime()
+        self.steps = StepTimeModel()
         self.guard = FirstTokenGuard()
         self.reaction_s = FIRST_REACTION_S
         self.owned_since: float | None = None
@@ -57,12 +57,12 @@
         """
         online = self.counts.total(now)
         if online != self.burst.online:
-            self.burst.note(online, self.reaction_s, now)
+            self.burst.record(online, self.reaction_s, now)
         return online
 
     def quiet(self, now: float) -> bool:
         """Return whether no online request runs here or has arrived of late."""
-        return self.online(now) == 0 and self.burst.most_arrivals(now) == 0
+        return self.online(now) == 0 and self.burst.max_arrivals(now) == 0
 
     def hold_s(self, batch_weight: float, now: float) -> float:
         """Return how long a place that online freed is held for its next request."""
@@ -76,7 +76,7 @@
         without end must not keep batch out, so it is put off for some steps at most.
         """
         step_s = self.step_s(self.online(now), now)
-        if now - self.filled_at >= MOST_PUT_OFF_STEPS * step_s:
+        if now - self.filled_at >= MAX_DEFERRAL_STEPS * step_s:
             return 0.0
         pause_s = step_s * MOST_PAUSE_STEPS * (1 - batch_weight)
         return max(0.0, self.burst.arrived_at + pause_s - now)
--- a/src/caperridge/gateway/fields.py
+++ b/src/caperridge/gateway/fields.py
@@ -1,4 +1,4 @@
-"""Reading a map that somebody else wrote: each field typed, all findings together."""
+"""Validation of JSON objects from outside, reporting all findings together."""
 
 import ipaddress
 from typing import Any
@@ -8,21 +8,21 @@
 from caperridge.findings import WHOLE, Finding
 from caperridge.gateway.dialect import DecodeError
 
-MOST_PORT = 65535
+MAX_PORT = 65535
 
 
 class Fields:
-    """The fields of one JSON map.
+    """The fields of one JSON object.
 
-    What is wrong with a field is noted, and reading goes on with a value of the type
-    asked for; :meth:`check` tells of everything at once.
+    An invalid field is recorded as a finding and read as a placeholder of the
+    requested type; :meth:`check` reports all findings at once.
 
     Args:
-        source: what the map is, for findings.
-        value: its bytes.
+        source: name of the object in findings.
+        value: the JSON text.
 
     Raises:
-        DecodeError: the bytes are no JSON map.
+        DecodeError: the bytes are not a JSON object.
     """
 
     __slots__ = ("_by_name", "_findings", "_source")
@@ -42,35 +42,35 @@
         return name in self._by_name
 
     def text(self, name: str) -> str:
-        """Return a text that is not empty."""
+        """Return a non-empty string."""
         value = self._by_name.get(name)
         if isinstance(value, str) and value:
             return value
-        self._wrong(name, "must be a text")
+        self._add_finding(name, "must be a text")
         return ""
 
-    def word(self, name: str, words: tuple[str, ...]) -> str:
-        """Return one of ``words``."""
+    def choice(self, name: str, choices: tuple[str, ...]) -> str:
+        """Return one of ``choices``."""
         value = self._by_name.get(name)
-        if isinstance(value, str) and value in words:
+        if isinstance(value, str) and value in choices:
             return value
-        self._wrong(name, f"must be one of {', '.join(words)}")
-        return words[0]
+        self._add_finding(name, f"must be one of {', '.join(choices)}")
+        return choices[0]
 
-    def whole(self, name: str, least: int, most: int) -> int:
-        """Return a whole number from ``least`` to ``most``."""
+    def integer(self, name: str, minimum: int, maximum: int) -> int:
+        """Return an integer from ``minimum`` to ``maximum``."""
         value = self._by_name.get(name)
-        if type(value) is int and least <= value <= most:
+        if type(value) is int and minimum <= value <= maximum:
             return value
-        self._wrong(name, f"must be a whole number from {least} to {most}")
-        return least
+        self._add_finding(name, f"must be a whole number from {minimum} to {maximum}")
+        return minimum
 
     def number(self, name: str) -> float:
         """Return a number."""
         value = self._by_name.get(name)
         if type(value) in (int, float):
             return float(value)
-        self._wrong(name, "must be a number")
+        self._add_finding(name, "must be a number")
         return 0.0
 
     def address(self, name: str) -> str:
@@ -78,19 +78,19 @@
         value = self._by_name.get(name)
         if isinstance(value, str) and is_address(value):
             return value
-        self._wrong(name, "must be IP:PORT")
+        self._add_finding(name, "must be IP:PORT")
         return ""
 
     def check(self) -> None:
-        """Tell what was wrong with the fields that were read.
+        """Report the findings in the fields that were read.
 
         Raises:
-            DecodeError: something was.
+            DecodeError: there are findings.
         """
         if self._findings:
             raise DecodeError("; ".join(str(finding) for finding in self._findings))
 
-    def _wrong(self, name: str, message: str) -> None:
+    def _add_finding(self, name: str, message: str) -> None:
         message = message if name in self._by_name else f"{message}, but is missing"
         self._findings.append(Finding(self._source, name, message))
 
@@ -102,7 +102,7 @@
     [True, False, False, False]
     """
     host, _, port = value.rpartition(":")
-    if not (port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MOST_PORT):
+    if not (port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MAX_PORT):
         return False
     try:
         ipaddress.IPv4Address(host)
--- a/src/caperridge/gateway/held_rows.py
+++ b/src/caperridge/gateway/held_rows.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from caperridge.decisions.quarantine import Quarantine
-from caperridge.decisions.suspects import End, Hold, Suspect
+from caperridge.decisions.suspects import Crash, Hold, Suspect
 from caperridge.elapsed import elapsed_s
 from caperridge.gateway.clock import StoreClock
 from caperridge.gateway.jobs.codec import UnreadableError, from_bytes, to_bytes
@@ -22,7 +22,7 @@
     Transaction,
 )
 from caperridge.gateway.table_copy import TableCopy
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from caperridge.log import logger
 from caperridge.records import Record
 
@@ -31,13 +31,13 @@
 TABLE = "held-requests"
 # Ends that are worth a row: with one more a request is held, and all instances may be
 # lost before that one comes.
-KEPT_ENDS = 2
+MIN_STORED_CRASHES = 2
 # While the store is away.
-PAUSE_S = 1.0
+RETRY_DELAY_S = 1.0
 # Between two writes; a crash makes a few rows, and no hurry.
-PACE_S = 0.02
+WRITE_INTERVAL_S = 0.02
 # Whoever waits for the right to try again is told at once that it is not to be had.
-CLAIM_S = 0.25
+CLAIM_TIMEOUT_S = 0.25
 
 
 class HeldRow(Record):
@@ -69,7 +69,7 @@
         self.trial_at = trial_at
 
 
-class HeldRows:
+class QuarantineTable:
     """Keeps suspects in the store and takes what others kept.
 
     Args:
@@ -83,7 +83,7 @@
         self,
         store: RowStore,
         clock: StoreClock,
-        reach: StoreReach,
+        reach: StoreReachability,
         quarantine: Quarantine,
     ) -> None:
         self.copy = TableCopy(TABLE)
@@ -92,35 +92,35 @@
         self._reach = reach
         self._quarantine = quarantine
         # In the order in which they are to be written.
-        self._changed: dict[str, None] = {}
+        self._pending: dict[str, None] = {}
         self._wake = asyncio.Event()
 
-    def changed(self, content: str) -> None:
+    def schedule_write(self, content: str) -> None:
         """Have the row of a content written, or removed, soon."""
-        self._changed[content] = None
+        self._pending[content] = None
         self._wake.set()
 
     async def run(self) -> None:
         """Write what changed until cancelled."""
         while True:
-            if not self._changed or not self._clock.known:
+            if not self._pending or not self._clock.known:
                 self._wake.clear()
-                await self._waited()
+                await self._wait()
                 continue
-            content = next(iter(self._changed))
-            del self._changed[content]
+            content = next(iter(self._pending))
+            del self._pending[content]
             if await self._write(content):
-                await asyncio.sleep(PACE_S)
+                await asyncio.sleep(WRITE_INTERVAL_S)
                 continue
-            self._changed.setdefault(content)
-            await asyncio.sleep(PAUSE_S)
+            self._pending.setdefault(content)
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _waited(self) -> None:
+    async def _wait(self) -> None:
         """Wait for a change, or a while for the store's clock."""
-        if not self._changed:
+        if not self._pending:
             await self._wake.wait()
             return
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_DELAY_S)
 
     async def _write(self, content: str) -> bool:
         """Bring the row of a content up to date; False if that is not done yet."""
@@ -128,14 +128,14 @@
         row = self.copy.rows_by_key.get(key)
         version = row.version if row is not None else ABSENT
         suspect = self._quarantine.by_content.get(content)
-        if suspect is not None and _is_worth_a_row(suspect):
-            value = self._value(suspect)
+        if suspect is not None and _is_stored(suspect):
+            value = self._encode(suspect)
             return await self._transact(Transaction({key: version}, {key: value}), key)
         if row is None:
             return True
         return await self._transact(Transaction({key: version}, {}, [key]), key)
 
-    async def claim(self, suspect: Suspect) -> bool:
+    async def claim_trial(self, suspect: Suspect) -> bool:
         """Take the right to try a request again; one instance gets it each time."""
         key = _key(suspect.content)
         row = self.copy.rows_by_key.get(key)
@@ -143,11 +143,11 @@
         if hold is None or not self._clock.known or not self._reach.reached:
             return False
         claimed = hold.after_trial(elapsed_s())
-        value = self._value(suspect, claimed)
+        value = self._encode(suspect, claimed)
         version = row.version if row is not None else ABSENT
         transaction = Transaction({key: version}, {key: value})
         try:
-            async with asyncio.timeout(CLAIM_S):
+            async with asyncio.timeout(CLAIM_TIMEOUT_S):
                 done = await self._transact(transaction, key)
         except TimeoutError:
             done = False
@@ -160,18 +160,18 @@
         if not isinstance(answer, Err):
             value = transaction.writes.get(key)
             row = StoredRow(key, value or b"", answer.ok_value.version, value is None)
-            self.copy.take_row(row)
+            self.copy.apply_row(row)
             return True
         if isinstance(answer.err_value, Refused):
             now = answer.err_value.row(key)
             # Gone if it is not there; the copy may not know yet.
             if now is None:
                 self.copy.rows_by_key.pop(key, None)
-            elif self.copy.take_row(now):
-                self.take([now], "store")
+            elif self.copy.apply_row(now):
+                self.apply_rows([now], "store")
         return False
 
-    def take(self, rows: list[StoredRow], source: str) -> list[str]:
+    def apply_rows(self, rows: list[StoredRow], source: str) -> list[str]:
         """Take rows that were news; return the contents whose holds changed."""
         news: list[str] = []
         for row in rows:
@@ -183,11 +183,11 @@
                 continue
             try:
                 held = from_bytes(HeldRow, row.value)
-                ends, hold = self._restored(held)
+                ends, hold = self._decode(held)
             except (UnreadableError, ValueError, TypeError) as error:
                 log.error("held request skipped", content=content, reason=str(error))
                 continue
-            if self._quarantine.restore(content, ends, hold):
+            if self._quarantine.merge(content, ends, hold):
                 news.append(content)
                 log.info(
                     "hold taken",
@@ -200,20 +200,20 @@
                 )
         return news
 
-    def sweep(self) -> None:
+    def remove_expired(self) -> None:
         """Have rows removed of which nothing was heard for long."""
         for key in self.copy.rows_by_key:
             if key.key not in self._quarantine.by_content:
-                self.changed(key.key)
+                self.schedule_write(key.key)
 
     # Between the store's clock and that of this machine.
 
-    def _value(self, suspect: Suspect, hold: Hold | None = None) -> bytes:
+    def _encode(self, suspect: Suspect, hold: Hold | None = None) -> bytes:
         ahead_s = self._clock.now() - elapsed_s()
         hold = hold or suspect.hold
         ends = [
             [e.target, e.caller, e.age_s, e.events, e.at + ahead_s, e.reported_by]
-            for e in suspect.ends
+            for e in suspect.crashes
         ]
         if hold is None:
             return to_bytes(HeldRow(ends, [], 0.0, 0, 0.0))
@@ -227,7 +227,7 @@
             )
         )
 
-    def _restored(self, row: HeldRow) -> tuple[list[End], Hold | None]:
+    def _decode(self, row: HeldRow) -> tuple[list[Crash], Hold | None]:
         """Return what a row holds, by the clock of this machine.
 
         Raises:
@@ -237,9 +237,9 @@
         # Told by a peer before the store has answered, it is as new as can be.
         store_s = self._clock.now() if self._clock.known else row.since
         ahead_s = store_s - elapsed_s()
-        ends: list[End] = []
+        ends: list[Crash] = []
         for target, caller, age_s, events, at, reported_by in row.ends:
-            end = End(
+            end = Crash(
                 str(target),
                 str(caller),
                 float(age_s),
@@ -259,5 +259,5 @@
     return RowKey(TABLE, "", content)
 
 
-def _is_worth_a_row(suspect: Suspect) -> bool:
-    return suspect.hold is not None or len(suspect.ends) >= KEPT_ENDS
+def _is_stored(suspect: Suspect) -> bool:
+    return suspect.hold is not None or len(suspect.crashes) >= MIN_STORED_CRASHES
--- a/src/caperridge/gateway/jobs/acceptance.py
+++ b/src/caperridge/gateway/jobs/acceptance.py
@@ -25,7 +25,7 @@
     StoredRow,
     Transaction,
     TransactionError,
-    read_whole,
+    read_all_rows,
 )
 from caperridge.log import logger
 from caperridge.records import Record
@@ -131,7 +131,7 @@
 
     def _fits(self, route: Route, job: JobRequest) -> bool:
         assert route.batch is not None
-        limit = route.batch.most_waiting_tokens
+        limit = route.batch.max_waiting_tokens
         if limit <= 0:
             return True
         return self._index.waiting_tokens(route.name) + job.tokens <= limit
@@ -205,11 +205,11 @@
         The gate is in the first page, so the pages after it contain all jobs accepted
         before the version of the gate that was read.
         """
-        answer = await read_whole(self._store, INDEX)
+        answer = await read_all_rows(self._store, INDEX)
         if isinstance(answer, Err):
             return
         page: RowsRead = answer.ok_value
-        changed = self._index.copy.take_whole(page.rows, page.version)
+        changed = self._index.copy.apply_snapshot(page.rows, page.version)
         self._index.apply_rows(changed)
 
     async def _pause(self, pause_s: float, deadline: float) -> bool:
--- a/src/caperridge/gateway/jobs/broker.py
+++ b/src/caperridge/gateway/jobs/broker.py
@@ -222,7 +222,7 @@
                 del free_by_id[id]
                 continue
             urgent = self._is_urgent(instance, service, store_now)
-            reserved = 0 if urgent else reserved_slots(target, occupancy.at(id))
+            reserved = 0 if urgent else reserved_slots(target, occupancy.total_at(id))
             if free_by_id[id] <= reserved:
                 del free_by_id[id]
                 continue
@@ -243,7 +243,7 @@
             if self._full_until_by_target.get(target.id, 0.0) > now:
                 continue
             granted = sum(1 for grant in self._grants if grant.target == target.id)
-            free = target.slots - occupancy.at(target.id).total - granted
+            free = target.slots - occupancy.total_at(target.id).total - granted
             if free > 0:
                 free_by_id[target.id] = free
                 target_by_id[target.id] = target
--- a/src/caperridge/gateway/jobs/edge.py
+++ b/src/caperridge/gateway/jobs/edge.py
@@ -110,7 +110,7 @@
         self, route: Route, host: str, id: str, job: JobRequest, arrived: float
     ) -> JobAnswer:
         """Store a job and start to work on it."""
-        deadline = min(arrived + ACCEPT_TIMEOUT_S, self._limits.until)
+        deadline = min(arrived + ACCEPT_TIMEOUT_S, self._limits.deadline)
         try:
             async with self._limits.within():
                 outcome = await self._acceptance.accept(route, host, id, job, deadline)
@@ -157,7 +157,9 @@
             if results is None:
                 return STORE_UNAVAILABLE
             # Before a stop, the wait ends one poll before the last time for the answer.
-            remaining_s = min(until, self._limits.until - POLL_INTERVAL_S) - loop.time()
+            remaining_s = (
+                min(until, self._limits.deadline - POLL_INTERVAL_S) - loop.time()
+            )
             if results or remaining_s <= 0 or not entry.open:
                 page = ResultsPage(entry.total, first, results)
                 return JobAnswer(200, page=page)
--- a/src/caperridge/gateway/jobs/granting.py
+++ b/src/caperridge/gateway/jobs/granting.py
@@ -70,7 +70,7 @@
         self._updated: Callable[[], None] = lambda: None
         mesh.register(SlotWants, self._handle_requests)
         mesh.register(SlotDecline, self._handle_decline)
-        mesh.on_lose(lambda member: self._remove_instance(member.id))
+        mesh.on_lost(lambda member: self._remove_instance(member.id))
 
     def on_update(self, call: Callable[[], None]) -> None:
         """Have ``call`` called when there may be slots to grant."""
@@ -207,7 +207,7 @@
             granter = granters[target.id]
             if granter is None or not self._fleet.takes_items(target.id, now):
                 continue
-            count = self._fleet.occupancy.at(target.id)
+            count = self._fleet.occupancy.total_at(target.id)
             free = target.slots - count.total - reserved_slots(target, count)
             near = target.availability_zone == self._mesh.zone
             capacities.append(TargetCapacity(granter, free, near))
--- a/src/caperridge/gateway/jobs/index.py
+++ b/src/caperridge/gateway/jobs/index.py
@@ -49,7 +49,7 @@
 
     def apply_row(self, row: StoredRow) -> None:
         """Apply one row that was just written or read, if it is newer."""
-        if self.copy.take_row(row):
+        if self.copy.apply_row(row):
             self.apply_rows([row])
 
     def version_of(self, job: str) -> int:
--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from caperridge.gateway.dialect import Dialect
-from caperridge.gateway.fingerprint import Fingerprint, fingerprint
+from caperridge.gateway.fingerprint import Fingerprint, fingerprint_of
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.jobs.held_job import (
     DONE,
@@ -21,7 +21,7 @@
 from caperridge.gateway.jobs.model import ItemProgress
 from caperridge.gateway.jobs.schedule import RankedItem
 from caperridge.gateway.metrics import GatewayMetrics
-from caperridge.gateway.request_guard import HeldBack, RequestGuard
+from caperridge.gateway.request_guard import QuarantineRefusal, RequestGuard
 from caperridge.gateway.routes import Route
 from caperridge.gateway.targets import Target
 from caperridge.gateway.upstream import (
@@ -109,15 +109,17 @@
 
     def is_quarantined(self, ranked: RankedItem) -> bool:
         """Whether an item is quarantined because targets crashed under it."""
-        return self._guard.suspects and self._guard.is_held(self._fingerprint(ranked))
+        return self._guard.has_suspects and self._guard.is_quarantined(
+            self._fingerprint(ranked)
+        )
 
     def _fingerprint(self, ranked: RankedItem) -> Fingerprint:
         entry, item = ranked.job.entry, ranked.state.item
         if ranked.state.fingerprint is None:
             headers = [("Host", entry.host)]
             headers += [(name, value) for name, value in item.headers]
-            changing = self._dialect.headers_of_a_try
-            ranked.state.fingerprint = fingerprint(
+            changing = self._dialect.per_attempt_headers
+            ranked.state.fingerprint = fingerprint_of(
                 "POST", entry.host, item.path, item.body, headers, changing
             )
         return ranked.state.fingerprint
@@ -131,8 +133,8 @@
             state.started_at = asyncio.get_running_loop().time()
         self._orders_by_target.setdefault(target.id, {})[state] = ranked.order
         self._update_occupancy(target.id, 1)
-        self._fleet.changed()
-        lengths = self._fleet.lengths(target.service)
+        self._fleet.notify_changed()
+        lengths = self._fleet.run_lengths(target.service)
         log.info(
             "item started",
             job=job.entry.id,
@@ -141,7 +143,9 @@
             after_event=state.progress.event,
             due_s=round(ranked.due, 2),
             late=ranked.late,
-            left_s=round(lengths.left_s(state.item.tokens, state.progress.event), 2),
+            left_s=round(
+                lengths.remaining_s(state.item.tokens, state.progress.event), 2
+            ),
             stretch=round(lengths.stretch, 2),
         )
         attempt = self._attempt(ranked, target)
@@ -165,7 +169,7 @@
         """Add to the items at ``target``, and update the latest due time there."""
         orders = self._orders_by_target[target]
         self._fleet.occupancy.add(target, items=items)
-        self._fleet.occupancy.items_due(target, max(orders.values(), default=0.0))
+        self._fleet.occupancy.set_latest_due(target, max(orders.values(), default=0.0))
         if not orders:
             del self._orders_by_target[target]
 
@@ -175,7 +179,7 @@
         route: Route,
         target: Target,
         from_event: int,
-        task: "asyncio.Task[AttemptError | HeldBack | Renewal | None]",
+        task: "asyncio.Task[AttemptError | QuarantineRefusal | Renewal | None]",
     ) -> None:
         state = ranked.state
         del self._orders_by_target[target.id][state]
@@ -189,10 +193,10 @@
         if not task.cancelled():
             exception = task.exception()
             outcome = Lost(repr(exception)) if exception is not None else task.result()
-            resumes = isinstance(outcome, Renewal | HeldBack)
+            resumes = isinstance(outcome, Renewal | QuarantineRefusal)
             error = None if resumes else outcome
         self._record_outcome(ranked, route, target, error, resumes, from_event)
-        self._fleet.changed()
+        self._fleet.notify_changed()
 
     def _record_outcome(
         self,
@@ -230,10 +234,10 @@
         if resumes or state.status in (DONE, LISTED):
             return
         if error is None:
-            self._fleet.succeeded(target.id, now)
-            self._guard.ran_well(self._fingerprint(ranked))
+            self._fleet.record_success(target.id, now)
+            self._guard.record_good_run(self._fingerprint(ranked))
             since_s = now - state.started_at if state.started_at else 0.0
-            self._fleet.lengths(target.service).ended(
+            self._fleet.run_lengths(target.service).record_item(
                 state.item.tokens, state.progress.event, since_s
             )
             job.complete(state)
@@ -243,11 +247,11 @@
             self._record_failure(job, state, route, error.status)
             return
         if isinstance(error, TargetRefused) and error.replaced:
-            self._fleet.replaced(target.id, now)
+            self._fleet.mark_replaced(target.id, now)
         elif isinstance(error, TargetRefused) and error.run == NOT_RUN:
-            self._fleet.refused_item(target.id, now)
+            self._fleet.record_item_refusal(target.id, now)
         else:
-            self._fleet.failed(target, error, now)
+            self._fleet.record_failure(target, error, now)
 
     def _record_failure(
         self,
@@ -262,19 +266,19 @@
             state.progress.event, state.progress.text, failures
         )
         self._delay_start(state, FAILED_RETRY_DELAY_S)
-        if status == UNPROCESSABLE_STATUS or failures >= route.most_attempts:
+        if status == UNPROCESSABLE_STATUS or failures >= route.max_attempts:
             job.mark_dead(state)
 
     def _delay_start(self, state: ItemState, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
         state.not_before = loop.time() + delay_s
-        loop.call_at(state.not_before, self._fleet.changed)
+        loop.call_at(state.not_before, self._fleet.notify_changed)
 
     async def _attempt(
         self, ranked: RankedItem, target: Target
-    ) -> AttemptError | HeldBack | Renewal | None:
+    ) -> AttemptError | QuarantineRefusal | Renewal | None:
         """Run the item at one target; None if its output is complete."""
-        if self._guard.suspects:
+        if self._guard.has_suspects:
             refused = await self._guard.admit(
                 self._fingerprint(ranked), ranked.state.item.id
             )
@@ -315,7 +319,7 @@
             return outcome
         finally:
             answer.close()
-            self._fleet.lengths(target.service).ran(
+            self._fleet.run_lengths(target.service).record_run(
                 state.progress.event - from_event, loop.time() - started_at
             )
 
@@ -331,7 +335,9 @@
         if isinstance(outcome, Lost):
             age_s = asyncio.get_running_loop().time() - started_at
             events = ranked.state.progress.event - from_event
-            self._guard.lost(target, self._fingerprint(ranked), age_s, events)
+            self._guard.record_lost_run(
+                target, self._fingerprint(ranked), age_s, events
+            )
 
     async def _collect_output(
         self, state: ItemState, answer: Answer, renew_at: float
@@ -348,7 +354,7 @@
         except BrokenAnswerError as error:
             return Lost(str(error))
         except asyncio.CancelledError:
-            state.append_events(answer.rest())
+            state.append_events(answer.buffered_events())
             raise
         return None if state.progress.event else Lost("it ended before an event")
 
--- a/src/caperridge/gateway/jobs/keeper.py
+++ b/src/caperridge/gateway/jobs/keeper.py
@@ -26,7 +26,7 @@
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.mesh.messages import JobNews, SlotGrant
 from caperridge.gateway.rows import RowStore, StoredRow, Transaction
-from caperridge.gateway.watcher import StoreReach
+from caperridge.gateway.watcher import StoreReachability
 from caperridge.log import logger
 
 log = logger(__name__)
@@ -53,7 +53,7 @@
         index: JobIndex,
         configuration: ConfigurationInForce,
         mesh: Mesh,
-        reach: StoreReach,
+        reach: StoreReachability,
         writer: JobWriter,
         claimer: JobClaimer,
         slots: ItemSlots,
@@ -178,7 +178,7 @@
 
     def _claim_orphans(self, now: float) -> None:
         """Claim open jobs whose holder was lost and whose owner is this instance."""
-        if self.leaving or not self._index.copy.known:
+        if self.leaving or not self._index.copy.loaded:
             return
         if not self._store_reachable():
             # This instance is partitioned and would claim the jobs of all silent peers.
@@ -284,7 +284,7 @@
         route = table.batch_route(job.entry.route) if table is not None else None
         if route is None or route.batch is None or job.head.finished:
             return
-        limit = route.batch.most_waiting_tokens
+        limit = route.batch.max_waiting_tokens
         waiting = self._index.waiting_tokens(route.name)
         if limit <= 0 or waiting < limit * REWRITE_THRESHOLD_RATIO:
             return
--- a/src/caperridge/gateway/jobs/slots.py
+++ b/src/caperridge/gateway/jobs/slots.py
@@ -86,7 +86,7 @@
 
     def _cancel(self, items: list[RankedItem], count: int, target: str) -> None:
         """Preempt ``count`` of these items, counting those being cancelled already."""
-        at_target = self._fleet.occupancy.at(target)
+        at_target = self._fleet.occupancy.total_at(target)
         count -= sum(1 for ranked in items if ranked.state.cancelling)
         remaining = [ranked for ranked in items if not ranked.state.cancelling]
         for ranked in preemption_order(remaining)[: max(0, count)]:
@@ -101,11 +101,13 @@
 
     def is_full(self, target: Target) -> bool:
         """Whether ``target`` has no free slot, as far as this instance knows."""
-        return self._fleet.occupancy.at(target.id).total >= target.slots
+        return self._fleet.occupancy.total_at(target.id).total >= target.slots
 
     def _within_slots(self, id: str) -> bool:
         target = self._fleet.targets.by_id.get(id)
-        return target is None or self._fleet.occupancy.at(id).total <= target.slots
+        return (
+            target is None or self._fleet.occupancy.total_at(id).total <= target.slots
+        )
 
     def slot_requests(
         self, jobs: Iterable[HeldJob], now: float
@@ -172,8 +174,8 @@
         route = table.batch_route(job.entry.route) if table is not None else None
         if route is None:
             return 0.0
-        lengths = self._fleet.lengths(route.service_for(state.item.id))
-        return lengths.left_s(state.item.tokens, state.progress.event)
+        lengths = self._fleet.run_lengths(route.service_for(state.item.id))
+        return lengths.remaining_s(state.item.tokens, state.progress.event)
 
     def refresh_ranks(self, jobs: Iterable[HeldJob]) -> None:
         """Update the ranks of running items: some can no longer be in time."""
--- a/src/caperridge/gateway/mesh/member.py
+++ b/src/caperridge/gateway/mesh/member.py
@@ -1,4 +1,4 @@
-"""What is known of one other instance."""
+"""State of one other instance, as known to the mesh."""
 
 
 class Member:
@@ -8,24 +8,24 @@
         id: of the instance.
         address: that its peers connect to.
         zone: its availability zone; empty if not known.
-        incarnation: of its life as last heard; empty if never.
-        previous_incarnation: that was heard before the present one.
-        heard_at: when its last message came; -inf if none did or its stream ended.
-        lost_at: when it was first found to be silent; None while it is heard.
+        incarnation: last one received; empty if none.
+        previous_incarnation: that was received before the present one.
+        last_received_at: when its last message came; -inf if there was none.
+        lost_at: when it was found to be silent; None while it is alive.
         reported_lost_at: when its zone last reported it as lost.
-        leaving: it said that it takes no new work.
-        store_reached: it said that the store answers it.
+        leaving: it reported that it takes no new work.
+        store_reached: it reported that it reaches the store.
         affinity: rank among the contacts of this instance, lowest first.
-        avoid_until: when it may be tried as a contact after it was not reached.
+        avoid_until: when it may be a contact again after a failed connection.
     """
 
     __slots__ = (
         "address",
         "affinity",
         "avoid_until",
-        "heard_at",
         "id",
         "incarnation",
+        "last_received_at",
         "leaving",
         "listed_at",
         "lost_at",
@@ -43,7 +43,7 @@
         self.zone = zone
         self.incarnation = ""
         self.previous_incarnation = ""
-        self.heard_at = float("-inf")
+        self.last_received_at = float("-inf")
         self.lost_at: float | None = now
         self.reported_lost_at = float("-inf")
         self.leaving = False
--- a/src/caperridge/gateway/open_runs.py
+++ b/src/caperridge/gateway/open_runs.py
@@ -1,34 +1,34 @@
-"""Which runs are open at which target, so that they can be ended together."""
+"""Open attempts by target, so that those of one target can be aborted together."""
 
 from collections.abc import Callable
 
-End = Callable[[], None]
+Abort = Callable[[], None]
 
 
 class OpenRuns:
-    """What ends each run that waits for its target; by the target's id."""
+    """The abort callbacks of open attempts, by the id of their target."""
 
-    __slots__ = ("_ends_by_target",)
+    __slots__ = ("_aborts_by_target",)
 
     def __init__(self) -> None:
-        self._ends_by_target: dict[str, set[End]] = {}
+        self._aborts_by_target: dict[str, set[Abort]] = {}
 
-    def add(self, target: str, end: End) -> None:
-        """Note a run, and what to call when the target's life is over."""
-        self._ends_by_target.setdefault(target, set()).add(end)
+    def add(self, target: str, abort: Abort) -> None:
+        """Add an attempt, with the callback that aborts it if the target restarts."""
+        self._aborts_by_target.setdefault(target, set()).add(abort)
 
-    def remove(self, target: str, end: End) -> None:
-        """Forget a run that has ended."""
-        ends = self._ends_by_target.get(target)
-        if ends is None:
+    def remove(self, target: str, abort: Abort) -> None:
+        """Remove an attempt that has finished."""
+        aborts = self._aborts_by_target.get(target)
+        if aborts is None:
             return
-        ends.discard(end)
-        if not ends:
-            del self._ends_by_target[target]
-
-    def end_all(self, target: str) -> int:
-        """End the runs at ``target``; return how many there were."""
-        ends = self._ends_by_target.pop(target, set())
-        for end in ends:
-            end()
-        return len(ends)
+        aborts.discard(abort)
+        if not aborts:
+            del self._aborts_by_target[target]
+
+    def abort_all(self, target: str) -> int:
+        """Abort the attempts at ``target``; return how many there were."""
+        aborts = self._aborts_by_target.pop(target, set())
+        for abort in aborts:
+            abort()
+        return len(aborts)
--- a/src/caperridge/instance/attempts.py
+++ b/src/caperridge/instance/attempts.py
@@ -6,15 +6,15 @@
 from contextlib import aclosing
 
 from caperridge.decisions.progress import Progress
-from caperridge.decisions.routing import TargetBook
+from caperridge.decisions.routing import TargetPool
 from caperridge.decisions.service_policy import (
-    UNREPEATABLE_BETWEEN_S,
-    UNREPEATABLE_FIRST_S,
-    Limits,
+    UNREPEATABLE_FIRST_EVENT_S,
+    UNREPEATABLE_INTER_EVENT_S,
+    EventTimeouts,
     ServicePolicy,
 )
 from caperridge.decisions.suspects import QUARANTINE_THRESHOLD
-from caperridge.decisions.target_state import Wanted
+from caperridge.decisions.target_state import RequestProfile
 from caperridge.instance.attempt_log import log_failure
 from caperridge.instance.attempt_watch import AttemptWatch
 from caperridge.instance.gate import NO_TARGET, Gate
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetPool,
         gate: Gate,
         engines: EngineClient,
         metrics: Metrics,
@@ -76,9 +76,9 @@
         """Return the learnt figures by service, for the dump."""
         return {
             name: {
-                "retry_budget": policy.budget.level,
-                "first_event_limit_s": policy.first.limit_s(),
-                "between_events_limit_s": policy.between.limit_s(),
+                "retry_budget": policy.retry_budget.level,
+                "first_event_limit_s": policy.first_event.timeout_s(),
+                "between_events_limit_s": policy.inter_event.timeout_s(),
             }
             for name, policy in self._policies_by_service.items()
         }
@@ -90,20 +90,20 @@
             RefusedError: no target could answer.
         """
         policy = self.policy(request.service.name)
-        policy.budget.deposit()
+        policy.retry_budget.deposit()
         progress = Progress(request.resume_from)
         while True:
             self._held.check(request, progress.run)
             self._check_candidates(request, progress)
-            if not progress.began:
+            if not progress.streaming:
                 # A retry under overload waits for room like any other request.
                 await self._enter(request, progress)
             try:
                 target = self._choose(request, progress)
-                self._book.started(target, request.blocks, self._clock())
+                self._book.record_start(target, request.blocks, self._clock())
                 self._tell_load(target)
             finally:
-                if not progress.began:
+                if not progress.streaming:
                     self._gate.started(
                         request.service.name, request.service.most_running
                     )
@@ -140,7 +140,9 @@
         name, now = request.service.name, self._clock()
         if self._book.usable(name, progress.excluded, now):
             return
-        if progress.reconsider() and self._book.usable(name, progress.excluded, now):
+        if progress.readmit_timed_out() and self._book.usable(
+            name, progress.excluded, now
+        ):
             request.trace.add("reconsidered", "no target is left that did not fail it")
             return
         raise self._no_target(request, progress)
@@ -168,7 +170,7 @@
         error: AttemptError,
     ) -> None:
         """Raise the final refusal if there must not be another attempt."""
-        stop = progress.stop(
+        stop = progress.stop_reason(
             error, request.service.repeatable, request.deadline, self._clock()
         )
         if stop is not None:
@@ -178,7 +180,7 @@
             )
         if isinstance(error, NotSent):
             return  # it cost no target anything
-        if policy.budget.take(progress.began):
+        if policy.retry_budget.take(progress.streaming):
             return
         self._metrics.budget_spent.labels(request.service.name).inc()
         text = f"too many retries in this service; last: {error.reason}"
@@ -189,9 +191,9 @@
     def _choose(self, request: OnlineRequest, progress: Progress) -> str:
         service = request.service
         now = self._clock()
-        wanted = Wanted(
+        wanted = RequestProfile(
             request.tokens,
-            self._book.history.tokens_by_target(request.blocks),
+            self._book.prefix_index.tokens_by_target(request.blocks),
             service.version,
             request.adapter,
             service.most_running,
@@ -203,7 +205,7 @@
             raise self._no_target(request, progress)
         best = weighed[0].target
         progress.alone = len(weighed) == 1 and self._is_only(best, request, progress)
-        parts = self._book.parts(best, wanted, now)
+        parts = self._book.score_parts(best, wanted, now)
         self._metrics.routed.labels(
             service.name, "cached" if parts["cached_tokens"] else "not_cached"
         ).inc()
@@ -218,10 +220,10 @@
         return best
 
     def _is_only(self, target: str, request: OnlineRequest, progress: Progress) -> bool:
-        wanted = Wanted(request.tokens)
+        wanted = RequestProfile(request.tokens)
         excluded = progress.excluded | {target}
         name = request.service.name
-        return not self._book.weigh(name, excluded, wanted, self._clock())
+        return not self._book.rank(name, excluded, wanted, self._clock())
 
     def _attempt(
         self,
@@ -232,16 +234,16 @@
     ) -> Attempt:
         state = self._book.states_by_id[target]
         number = progress.attempts
-        limits = Limits(UNREPEATABLE_FIRST_S, UNREPEATABLE_BETWEEN_S)
+        limits = EventTimeouts(UNREPEATABLE_FIRST_EVENT_S, UNREPEATABLE_INTER_EVENT_S)
         if request.service.repeatable:
-            limits = policy.limits(
+            limits = policy.timeouts(
                 number,
                 request.tokens + progress.offset,
                 state.expected_wait_s(request.service.most_running, self._clock()),
                 progress.alone,
             )
         latest_s = math.inf
-        if not progress.began:
+        if not progress.streaming:
             left_s = request.deadline - self._clock()
             latest_s = max(LEAST_FIRST_S, left_s)
             limits.first_s = max(LEAST_FIRST_S, min(limits.first_s, left_s))
@@ -272,19 +274,19 @@
                 async for events in batches:
                     now = self._clock()
                     watch.events(len(events), now)
-                    self._book.heard(target, now)
-                    progress.advanced(events)
+                    self._book.record_event(target, now)
+                    progress.record_tokens(events)
                     yield events
                     watch.resumed(self._clock())
             whole = True
             self._metrics.attempts.labels(request.service.name, "whole").inc()
-            self._book.succeeded(target, self._clock())
+            self._book.record_success(target, self._clock())
         except AttemptFailed as failed:
             if isinstance(failed.error, Lost):
                 watch.lost(self._clock())
             raise
         finally:
-            self._book.ended(target)
+            self._book.record_finish(target)
             self._tell_load(target, watch)
             self._gate.pump(request.service.name, request.service.most_running)
             self._note_latency(target, watch)
@@ -295,7 +297,7 @@
         watch.note()
         state = self._book.states_by_id.get(target)
         if state is not None and watch.tokens:
-            state.first_token_seen(watch.first_s, self._clock())
+            state.record_first_token(watch.first_s, self._clock())
 
     def _cancel_later(self, attempt: Attempt) -> None:
         cancel = self._engines.cancel(attempt.address, attempt.attempt)
@@ -312,9 +314,9 @@
     ) -> None:
         kind = type(error).__name__
         service = request.service
-        progress.failed(target, error, service.believes_not_run)
+        progress.record_failure(target, error, service.believes_not_run)
         self._metrics.attempts.labels(service.name, kind).inc()
-        out_s = self._book.failed(target, error, self._clock())
+        out_s = self._book.record_failure(target, error, self._clock())
         if out_s:
             self._metrics.ejected.labels(service.name).inc()
         request.trace.add(
--- a/src/caperridge/instance/claimer.py
+++ b/src/caperridge/instance/claimer.py
@@ -16,13 +16,13 @@
 from caperridge.decisions.chunks import chunk_items
 from caperridge.decisions.claims import (
     Action,
+    ChunkRow,
     JobView,
-    SeenChunk,
     Split,
     TakeOver,
     plan_claims,
 )
-from caperridge.decisions.jobs import CLAIMED, Job, SavedItems
+from caperridge.decisions.jobs import CLAIMED, CheckpointedItems, Job
 from caperridge.instance.actor import Actor
 from caperridge.instance.batch_messages import (
     ChunkClaimed,
@@ -33,7 +33,7 @@
     SessionsLapsed,
 )
 from caperridge.instance.job_items import JobItems
-from caperridge.queries.jobs import read_view, session_states
+from caperridge.queries.jobs import read_session_states, read_view
 from caperridge.records import Record
 from caperridge.store.interface import Conflict, Platform
 
@@ -68,7 +68,7 @@
         job: Job,
         wanted: ClaimWanted,
         lines_by_start: dict[int, list[bytes]],
-        saved_by_start: dict[int, SavedItems],
+        saved_by_start: dict[int, CheckpointedItems],
     ) -> None:
         self.job = job
         self.wanted = wanted
@@ -212,16 +212,16 @@
                 ChunkClaimed(
                     claims.job,
                     chunk,
-                    cached.view.seen_by_start[chunk.start].state,
+                    cached.view.rows_by_start[chunk.start].state,
                     wanted.session,
                     claims.lines_by_start[chunk.start],
-                    claims.saved_by_start.get(chunk.start, SavedItems()),
+                    claims.saved_by_start.get(chunk.start, CheckpointedItems()),
                 )
             )
         return items
 
     def _plan(self, view: JobView, wanted: ClaimWanted, left: int) -> list[Action]:
-        def abandoned(seen: SeenChunk, start: int) -> bool | None:
+        def abandoned(seen: ChunkRow, start: int) -> bool | None:
             session = seen.state.session
             if session == wanted.session:
                 # A claim whose answer was lost for good: ours, but not worked on.
@@ -232,7 +232,7 @@
                 return None
             return state != CLOSED
 
-        gaps = view.gaps()
+        gaps = view.unclaimed_ranges()
         remaining = sum(gap.items for gap in gaps)
         sharers = len(view.holders() | {wanted.session})
         size = chunk_items(
@@ -252,7 +252,7 @@
         assert state is not None
         key = keys.chunk(view.job.id, action.chunk.start)
         version = versions_by_key.get(key, 0)
-        view.seen_by_start[action.chunk.start] = SeenChunk(state, version)
+        view.rows_by_start[action.chunk.start] = ChunkRow(state, version)
         in_hand.add(key)
 
     async def _lines(
@@ -268,12 +268,14 @@
             lines_by_start[action.chunk.start] = lines.ok_value
         return Ok(lines_by_start)
 
-    async def _saved(self, actions: list[Action]) -> Result[dict[int, SavedItems], Any]:
-        saved_by_start: dict[int, SavedItems] = {}
+    async def _saved(
+        self, actions: list[Action]
+    ) -> Result[dict[int, CheckpointedItems], Any]:
+        saved_by_start: dict[int, CheckpointedItems] = {}
         for action in actions:
             if not isinstance(action, TakeOver):
                 continue
-            state = action.seen.state
+            state = action.row.state
             previous = state.session if state.state == CLAIMED else state.previous
             if not previous:
                 continue
@@ -297,7 +299,7 @@
             if session != own and self._states_by_session.get(session, ALIVE) == ALIVE
         }
         if holders:
-            states = await session_states(self._platform, holders)
+            states = await read_session_states(self._platform, holders)
             if isinstance(states, Err):
                 return states
             self._states_by_session.update(states.ok_value)
@@ -327,8 +329,8 @@
         if settled.state is None:
             cached.refresh_at = 0.0
             return
-        cached.view.seen_by_start[settled.chunk.start] = SeenChunk(settled.state, 0)
-        if cached.view.gaps():
+        cached.view.rows_by_start[settled.chunk.start] = ChunkRow(settled.state, 0)
+        if cached.view.unclaimed_ranges():
             return
         # Perhaps the last chunk of the job: whoever commits that must see it.
         cached.refresh_at = 0.0
--- a/src/caperridge/instance/keyed_calls.py
+++ b/src/caperridge/instance/keyed_calls.py
@@ -21,13 +21,13 @@
     release_call,
 )
 from caperridge.decisions.plain_calls import (
-    COME_BACK_S,
     DONE,
+    RETRY_AFTER_S,
     RUNNING,
-    UNCLAIMED_RUN,
+    UNREADABLE_CLAIM_RUN,
     AnswerRecorded,
     CallClaim,
-    OtherCall,
+    KeyReused,
     OutcomeUnknown,
     StillRunning,
     call_digest,
@@ -37,7 +37,7 @@
 from caperridge.instance.plain_headers import kept, of_pairs
 from caperridge.instance.session import SessionKeeper
 from caperridge.log import logger
-from caperridge.queries.plain_calls import holder_alive, recorded_body
+from caperridge.queries.plain_calls import is_holder_alive, read_recorded_body
 from caperridge.refusals import NOT_RUN, RAN, UNKNOWN, RefusedError
 from caperridge.store.interface import (
     Committed,
@@ -158,19 +158,21 @@
             "nothing was sent for this request, but whether the key's call ran "
             f"before cannot be looked up: {error.reason}"
         )
-        retry_after_s = max(COME_BACK_S, getattr(error, "retry_after_s", 0.0))
-        raise request.refuse("platform_away", text, 503, UNCLAIMED_RUN, retry_after_s)
+        retry_after_s = max(RETRY_AFTER_S, getattr(error, "retry_after_s", 0.0))
+        raise request.refuse(
+            "platform_away", text, 503, UNREADABLE_CLAIM_RUN, retry_after_s
+        )
 
     async def _resent(
         self, request: PlainRequest, claim: CallClaim, digest: str
     ) -> PlainAnswer:
         alive = True
         if claim.state == RUNNING:
-            found = await holder_alive(self._platform, claim)
+            found = await is_holder_alive(self._platform, claim)
             alive = isinstance(found, Err) or found.ok_value
         action = on_resend(claim, digest, alive, self._clock())
         match action:
-            case OtherCall():
+            case KeyReused():
                 text = "this idempotency key names another call"
                 raise request.refuse("key_reused", text, 409, NOT_RUN)
             case StillRunning():
@@ -183,17 +185,17 @@
                 return await self._recorded(request, action.claim)
 
     async def _recorded(self, request: PlainRequest, claim: CallClaim) -> PlainAnswer:
-        body = await recorded_body(self._platform, claim)
+        body = await read_recorded_body(self._platform, claim)
         if isinstance(body, Err):
             text = f"the call ran, its answer cannot be read now: {body.err_value}"
-            raise request.refuse("platform_away", text, 503, RAN, COME_BACK_S)
+            raise request.refuse("platform_away", text, 503, RAN, RETRY_AFTER_S)
         request.trace.add("answered", "recorded before", request=claim.request)
         headers = of_pairs(claim.headers)
         headers["Idempotent-Replayed"] = "true"
         return PlainAnswer(claim.status, headers, body.ok_value)
 
     def _in_progress(self, request: PlainRequest, reason: str) -> RefusedError:
-        return request.refuse("in_progress", reason, 409, UNKNOWN, COME_BACK_S)
+        return request.refuse("in_progress", reason, 409, UNKNOWN, RETRY_AFTER_S)
 
     async def _record_refusal(
         self, row: str, claim: CallClaim, refused: RefusedError
--- a/src/caperridge/queries/in_force.py
+++ b/src/caperridge/queries/in_force.py
@@ -34,12 +34,12 @@
         self.not_reached = not_reached
 
 
-def merge(
+def merge_versions(
     version: int, listed: set[str], versions_by_instance: dict[str, int]
 ) -> InForce:
     """Return who has ``version``, of what was heard from whom.
 
-    >>> merge(5, {"a", "b", "c"}, {"a": 5, "b": 4, "gone": 5})
+    >>> merge_versions(5, {"a", "b", "c"}, {"a": 5, "b": 4, "gone": 5})
     InForce(behind={'b': 4}, in_force=['a'], not_reached=['c'], version=5)
     """
     found = InForce(version, [], {}, [])
--- a/tests/gateway/test_looks.py
+++ b/tests/gateway/test_looks.py
@@ -112,4 +112,4 @@
 
 def _tell_online(instance: GatewayInstance, target: str, online: int) -> None:
     """Receive a count of online requests of other instances at ``target``."""
-    instance.news._counts("others", Counts([[target, online, 0, 0.0]]))
+    instance.news._receive_counts("others", Counts([[target, online, 0, 0.0]]))
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -13,8 +13,8 @@
     Heartbeat,
     RelayedHeartbeats,
 )
-from caperridge.gateway.news import WHOLE_BEATS
-from caperridge.gateway.process import BEAT_S, GatewayInstance
+from caperridge.gateway.news import FULL_HEARTBEAT_PERIOD_BEATS
+from caperridge.gateway.process import HEARTBEAT_INTERVAL_S, GatewayInstance
 from gateway.conftest import World, until
 from gateway.test_jobs import ITEMS, listed
 
@@ -24,13 +24,13 @@
 
     def __init__(self, instance: GatewayInstance) -> None:
         super().__init__()
-        hears = instance.mesh._heard
+        hears = instance.mesh._handle
 
         def heard(member, message) -> None:
             self[type(message)] += 1
             hears(member, message)
 
-        instance.mesh._heard = heard
+        instance.mesh._handle = heard
 
 
 async def test_of_an_idle_peer_only_its_life_is_heard_between_whole_heartbeats(
@@ -38,13 +38,18 @@
 ) -> None:
     instances = [await world.add_instance(zone=zone) for zone in "aab"]
     await world.ready()
-    await asyncio.sleep(BEAT_S * 1.5)  # what was new with the connections is told
+    await asyncio.sleep(
+        HEARTBEAT_INTERVAL_S * 1.5
+    )  # what was new with the connections is told
     heard = Heard(instances[0])
-    await asyncio.sleep(BEAT_S * WHOLE_BEATS * 2)
-    near, far = 2, WHOLE_BEATS  # the far one tells the two of this zone in turn
+    await asyncio.sleep(HEARTBEAT_INTERVAL_S * FULL_HEARTBEAT_PERIOD_BEATS * 2)
+    near, far = (
+        2,
+        FULL_HEARTBEAT_PERIOD_BEATS,
+    )  # the far one tells the two of this zone in turn
     assert near + far - 2 <= heard[Heartbeat] <= near + far + 2
     # What the near one passes on of the far one is a sign of its own life as well.
-    signs = (WHOLE_BEATS - 1) * 2
+    signs = (FULL_HEARTBEAT_PERIOD_BEATS - 1) * 2
     assert signs - 1 <= heard[Alive] + heard[RelayedHeartbeats] <= signs + near + 1
     kinds = heard[Heartbeat] + heard[Alive] + heard[RelayedHeartbeats]
     assert sum(heard.values()) == kinds
@@ -56,12 +61,15 @@
     hearing = await world.add_instance(zone="a")
     telling = await world.add_instance(zone="a")
     await world.ready()
-    await asyncio.sleep(BEAT_S * 1.5)
+    await asyncio.sleep(HEARTBEAT_INTERVAL_S * 1.5)
     heard = Heard(hearing)
-    end = asyncio.get_running_loop().time() + BEAT_S * WHOLE_BEATS * 2
+    end = (
+        asyncio.get_running_loop().time()
+        + HEARTBEAT_INTERVAL_S * FULL_HEARTBEAT_PERIOD_BEATS * 2
+    )
     while asyncio.get_running_loop().time() < end:
         telling.mesh.send_near(Counts([]))
-        await asyncio.sleep(mesh.RECENT_S / 4)
+        await asyncio.sleep(mesh.RECENTLY_SENT_S / 4)
     assert heard[Counts] > 0
     assert heard[Alive] <= 1  # the loop may have been late once
 
@@ -73,11 +81,11 @@
     telling = await world.add_instance(zone="a")
     await world.ready()
     telling.fleet.occupancy.add("i-0", online=2)
-    telling.fleet.changed()
-    telling.news.beat = lambda: None
+    telling.fleet.notify_changed()
+    telling.news.send_heartbeat = lambda: None
     hearing = await world.add_instance(zone="b")
     own = telling.settings.instance
-    await until(lambda: hearing.fleet.occupancy.of(own, "i-0").online == 2)
+    await until(lambda: hearing.fleet.occupancy.count_of(own, "i-0").online == 2)
 
 
 async def test_a_connection_that_is_made_again_begins_with_all_counts(
@@ -87,23 +95,23 @@
     telling = await world.add_instance(zone="a")
     hearing = await world.add_instance(zone="b")
     await world.ready()
-    telling.news.beat = lambda: None
+    telling.news.send_heartbeat = lambda: None
     telling.fleet.occupancy.add("i-0", online=2)
     telling.fleet.occupancy.take_changed()
     for stream in list(hearing.mesh._streams):
         stream.close()
     own = telling.settings.instance
-    await until(lambda: hearing.fleet.occupancy.of(own, "i-0").online == 2)
+    await until(lambda: hearing.fleet.occupancy.count_of(own, "i-0").online == 2)
 
 
 @pytest.mark.parametrize(
     ("zone", "silent_s", "lost"),
     [
-        ("a", BEAT_S + mesh.RECENT_S, False),
-        ("a", 2 * BEAT_S + mesh.RECENT_S, False),
-        ("a", mesh.SILENCE_S + 0.01, True),
-        ("b", 2 * CONTACTS_PER_ZONE * BEAT_S, False),
-        ("b", mesh.FAR_SILENCE_S + 0.01, True),
+        ("a", HEARTBEAT_INTERVAL_S + mesh.RECENTLY_SENT_S, False),
+        ("a", 2 * HEARTBEAT_INTERVAL_S + mesh.RECENTLY_SENT_S, False),
+        ("a", mesh.SILENCE_TIMEOUT_S + 0.01, True),
+        ("b", 2 * CONTACTS_PER_ZONE * HEARTBEAT_INTERVAL_S, False),
+        ("b", mesh.FAR_SILENCE_TIMEOUT_S + 0.01, True),
     ],
 )
 async def test_a_peer_is_lost_after_more_than_two_signs_of_life_stayed_out(
@@ -113,8 +121,8 @@
     peer = await world.add_instance(zone=zone)
     await world.ready()
     member = instance.mesh.members_by_id[peer.settings.instance]
-    member.heard_at = asyncio.get_running_loop().time() - silent_s
-    instance.mesh.check()
+    member.last_received_at = asyncio.get_running_loop().time() - silent_s
+    instance.mesh.check_members()
     assert (member.lost_at is not None) == lost
 
 
@@ -126,8 +134,8 @@
     await world.ready()
     own = leaving.settings.instance
     leaving.news.leaving = True
-    leaving.news.beat()
-    await until(lambda: far.mesh.members_by_id[own].leaving, BEAT_S)
+    leaving.news.send_heartbeat()
+    await until(lambda: far.mesh.members_by_id[own].leaving, HEARTBEAT_INTERVAL_S)
 
 
 async def test_granters_elsewhere_forget_wants_that_were_met(
--- a/tests/online/test_policy_machine.py
+++ b/tests/online/test_policy_machine.py
@@ -18,12 +18,12 @@
 )
 
 from caperridge.config.model import Caller
-from caperridge.decisions.fair_queue import FairQueue, Waiting
-from caperridge.decisions.limit_share import Seat
-from caperridge.decisions.limits import BURST_S, Limits
-from caperridge.decisions.progress import MOST_ATTEMPTS, Progress
-from caperridge.decisions.routing import TargetBook
-from caperridge.decisions.target_state import TargetReport, Wanted
+from caperridge.decisions.fair_queue import FairQueue, QueuedRequest
+from caperridge.decisions.limit_share import LimitShare
+from caperridge.decisions.limits import BURST_S, RateLimiter
+from caperridge.decisions.progress import MAX_ATTEMPTS, Progress
+from caperridge.decisions.routing import TargetPool
+from caperridge.decisions.target_state import RequestProfile, TargetReport
 from caperridge.refusals import NOT_RUN
 from caperridge.store.interface import ListedMember
 from caperridge.targets.outcomes import Lost, NotSent, TargetRefused, WrongAnswer
@@ -68,8 +68,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.book = TargetBook("oviedo", seed=1)
-        self.limits = Limits()
+        self.book = TargetPool("oviedo", seed=1)
+        self.limits = RateLimiter()
         self.queue = FairQueue(MOST_WAITING)
         self.members: dict[str, ListedMember] = {}
         self.gone: set[tuple[str, int]] = set()
@@ -112,7 +112,9 @@
     def arrives(
         self, caller: str, tokens: int, patience_s: float, repeatable: bool
     ) -> None:
-        over = self.limits.admit(CALLERS[caller], tokens, Seat(INSTANCES), self.now)
+        over = self.limits.admit(
+            CALLERS[caller], tokens, LimitShare(INSTANCES), self.now
+        )
         if over is not None:
             assert over.retry_after_s > 0
             return
@@ -121,21 +123,23 @@
         if not len(self.queue) and self.has_room():
             self.start(request)
             return
-        waiting = Waiting("r", caller, CALLERS[caller].share, request.deadline, request)
+        waiting = QueuedRequest(
+            "r", caller, CALLERS[caller].share, request.deadline, request
+        )
         dropped = self.queue.push(waiting)
         if dropped is not None:
-            self.limits.ended(dropped.caller)
+            self.limits.release(dropped.caller)
         self.pump()
 
     def has_room(self) -> bool:
-        return self.book.has_room("chat", MOST_RUNNING, self.now)
+        return self.book.has_capacity("chat", MOST_RUNNING, self.now)
 
     def pump(self) -> None:
         while self.has_room():
             best, late = self.queue.pop(self.now)
             for waiting in late:
                 assert waiting.deadline <= self.now
-                self.limits.ended(waiting.caller)
+                self.limits.release(waiting.caller)
             if best is None:
                 return
             assert best.deadline > self.now
@@ -143,11 +147,11 @@
 
     def start(self, request: Running) -> None:
         request.attempts += 1
-        assert request.attempts <= MOST_ATTEMPTS
+        assert request.attempts <= MAX_ATTEMPTS
         weighed = self.book.choose(
             "chat",
             request.progress.excluded,
-            Wanted(most_running=MOST_RUNNING),
+            RequestProfile(most_running=MOST_RUNNING),
             self.now,
         )
         usable = [
@@ -162,7 +166,7 @@
             return
         assert weighed[0].target in usable
         request.target = weighed[0].target
-        self.book.started(request.target)
+        self.book.record_start(request.target)
         self.running.append(request)
 
     def end(self, request: Running, run: str | None = None) -> None:
@@ -170,7 +174,7 @@
             assert not request.bytes_left
         if not request.repeatable:
             assert request.runs <= 1
-        self.limits.ended(request.caller)
+        self.limits.release(request.caller)
 
     @precondition(lambda self: self.running)
     @rule(data=st.data())
@@ -179,8 +183,8 @@
             data.draw(st.integers(0, len(self.running) - 1), label="request")
         )
         request.runs += 1
-        self.book.ended(request.target)
-        self.book.succeeded(request.target, self.now)
+        self.book.record_finish(request.target)
+        self.book.record_success(request.target, self.now)
         self.end(request)
         self.pump()
 
@@ -204,13 +208,13 @@
         error, sent = FAILURES[how]
         request.bytes_left |= sent
         request.runs += sent
-        self.book.ended(request.target)
-        if self.book.failed(request.target, error, self.now):
+        self.book.record_finish(request.target)
+        if self.book.record_failure(request.target, error, self.now):
             self.check_floor()
-        request.progress.failed(request.target, error, believes_not_run=True)
+        request.progress.record_failure(request.target, error, believes_not_run=True)
         if isinstance(error, TargetRefused) and error.leaving:
             self.leaves(request.target)
-        stop = request.progress.stop(
+        stop = request.progress.stop_reason(
             error, request.repeatable, request.deadline, self.now
         )
         if stop is not None:
@@ -265,7 +269,7 @@
     @rule(name=st.sampled_from(TARGETS), online=st.integers(0, 6))
     def report_comes(self, name: str, online: int) -> None:
         name = self.known(name)
-        self.book.report(name, TargetReport(0, online, at=self.now))
+        self.book.record_report(name, TargetReport(0, online, at=self.now))
         self.pump()
 
     def known(self, name: str) -> str:
@@ -273,7 +277,7 @@
 
     def check_floor(self) -> None:
         usable = [s for s in self.book.states_by_id.values() if not s.leaving]
-        out = [s for s in usable if s.health.is_out(self.now)]
+        out = [s for s in usable if s.health.is_ejected(self.now)]
         assert len(out) <= len(usable) / 2
 
     @invariant()
@@ -301,7 +305,7 @@
         for name, state in self.book.states_by_id.items():
             here = sum(1 for request in self.running if request.target == name)
             assert state.in_flight == here
-        tracked = sum(s.running for s in self.limits.states_by_caller.values())
+        tracked = sum(s.running for s in self.limits.usage_by_caller.values())
         assert tracked == len(self.running) + len(self.queue)
 
 
