--- a/src/caperridge/gateway/jobs/codec.py
+++ b/src/caperridge/gateway/jobs/codec.py
@@ -28,7 +28,7 @@
     try:
         return _typed(kind, unpack(value))
     except (ValueError, TypeError, AttributeError) as error:
-        raise UnreadableError(f"no {kind.__name__}: {error}") from error
+        raise UnreadableError(f"not a valid {kind.__name__}: {error}") from error
 
 
 def job_to_bytes(job: JobRequest) -> bytes:
@@ -45,7 +45,7 @@
     try:
         return JobRequest([_typed(JobItem, fields) for fields in unpack(data)])
     except (ValueError, TypeError, AttributeError) as error:
-        raise UnreadableError(f"no job: {error}") from error
+        raise UnreadableError(f"not a valid list of items: {error}") from error
 
 
 def _typed(kind: type[R], fields: Any) -> R:
