--- a/src/caperridge/gateway/held_rows.py
+++ b/src/caperridge/gateway/held_rows.py
@@ -1,7 +1,7 @@
-"""Requests in quarantine as the store keeps them, and the right to try one again.
+"""Durable quarantine: suspect requests in the store, and claims of their trials.
 
-A row outlives all instances, and whoever changes it does so on the version it knows: so
-one instance of all tries a request again, and no trial is forgotten.
+Rows outlive all instances and change only by compare-and-set on their version, so each
+trial of a request is claimed by one instance and none is lost.
 """
 
 import asyncio
@@ -29,23 +29,23 @@
 log = logger(__name__)
 
 TABLE = "held-requests"
-# Ends that are worth a row: with one more a request is held, and all instances may be
-# lost before that one comes.
+# Crashes from which a request is stored: one more quarantines it, and all instances may
+# be lost before that one.
 MIN_STORED_CRASHES = 2
-# While the store is away.
+# While the store is unreachable.
 RETRY_DELAY_S = 1.0
-# Between two writes; a crash makes a few rows, and no hurry.
+# Between two writes; a crash changes a few rows, and they are not urgent.
 WRITE_INTERVAL_S = 0.02
-# Whoever waits for the right to try again is told at once that it is not to be had.
+# A request that waits for its trial gets a quick refusal if the claim is not granted.
 CLAIM_TIMEOUT_S = 0.25
 
 
 class HeldRow(Record):
-    """A row of a suspect; times are of the store's clock, in seconds.
+    """Row of a suspect request; times are of the store's clock, in seconds.
 
     Attributes:
-        ends: of each target, caller, age of the run in seconds, its events, when, and
-            who told.
+        ends: crashes: target, caller, age of the run in seconds, its events, when, and
+            who reported each.
         callers: for whom it is held; empty for all.
         since: when it was put in quarantine; 0 if it is not.
         trials: how often it was tried again.
@@ -70,13 +70,13 @@
 
 
 class QuarantineTable:
-    """Keeps suspects in the store and takes what others kept.
+    """Stores suspect requests and applies the rows of other instances.
 
     Args:
-        store: that keeps them.
+        store: that holds the rows.
         clock: of the store.
         reach: whether the store answers here.
-        quarantine: filled and read.
+        quarantine: updated from rows and written to them.
     """
 
     def __init__(
@@ -91,17 +91,17 @@
         self._clock = clock
         self._reach = reach
         self._quarantine = quarantine
-        # In the order in which they are to be written.
+        # Contents in the order in which they are written.
         self._pending: dict[str, None] = {}
         self._wake = asyncio.Event()
 
     def schedule_write(self, content: str) -> None:
-        """Have the row of a content written, or removed, soon."""
+        """Write, or remove, the row of a content soon."""
         self._pending[content] = None
         self._wake.set()
 
     async def run(self) -> None:
-        """Write what changed until cancelled."""
+        """Write changed rows until cancelled."""
         while True:
             if not self._pending or not self._clock.known:
                 self._wake.clear()
@@ -123,7 +123,7 @@
         await asyncio.sleep(RETRY_DELAY_S)
 
     async def _write(self, content: str) -> bool:
-        """Bring the row of a content up to date; False if that is not done yet."""
+        """Write the row of a content; False if it has to be repeated."""
         key = _key(content)
         row = self.copy.rows_by_key.get(key)
         version = row.version if row is not None else ABSENT
@@ -136,7 +136,7 @@
         return await self._transact(Transaction({key: version}, {}, [key]), key)
 
     async def claim_trial(self, suspect: Suspect) -> bool:
-        """Take the right to try a request again; one instance gets it each time."""
+        """Claim the next trial of a request; only one instance gets each."""
         key = _key(suspect.content)
         row = self.copy.rows_by_key.get(key)
         hold = suspect.hold
@@ -163,34 +163,34 @@
             self.copy.apply_row(row)
             return True
         if isinstance(answer.err_value, Refused):
-            now = answer.err_value.row(key)
-            # Gone if it is not there; the copy may not know yet.
-            if now is None:
+            current = answer.err_value.row(key)
+            # A row that is absent was removed; the copy may not know yet.
+            if current is None:
                 self.copy.rows_by_key.pop(key, None)
-            elif self.copy.apply_row(now):
-                self.apply_rows([now], "store")
+            elif self.copy.apply_row(current):
+                self.apply_rows([current], "store")
         return False
 
     def apply_rows(self, rows: list[StoredRow], source: str) -> list[str]:
-        """Take rows that were news; return the contents whose holds changed."""
-        news: list[str] = []
+        """Apply changed rows; return the contents whose holds changed."""
+        changed: list[str] = []
         for row in rows:
             content = row.key.key
             if row.removed:
                 if self._quarantine.clear(content, elapsed_s()):
-                    news.append(content)
-                    log.info("hold dropped", content=content, source=source)
+                    changed.append(content)
+                    log.info("hold removed", content=content, source=source)
                 continue
             try:
                 held = from_bytes(HeldRow, row.value)
                 ends, hold = self._decode(held)
             except (UnreadableError, ValueError, TypeError) as error:
-                log.error("held request skipped", content=content, reason=str(error))
+                log.error("invalid held row", content=content, reason=str(error))
                 continue
             if self._quarantine.merge(content, ends, hold):
-                news.append(content)
+                changed.append(content)
                 log.info(
-                    "hold taken",
+                    "hold applied",
                     content=content,
                     ends=len(ends),
                     held=hold is not None,
@@ -198,15 +198,15 @@
                     source=source,
                     version=row.version,
                 )
-        return news
+        return changed
 
     def remove_expired(self) -> None:
-        """Have rows removed of which nothing was heard for long."""
+        """Schedule the removal of rows whose requests are no longer suspect."""
         for key in self.copy.rows_by_key:
             if key.key not in self._quarantine.by_content:
                 self.schedule_write(key.key)
 
-    # Between the store's clock and that of this machine.
+    # Conversion between the store's clock and that of this machine.
 
     def _encode(self, suspect: Suspect, hold: Hold | None = None) -> bytes:
         ahead_s = self._clock.now() - elapsed_s()
@@ -228,13 +228,13 @@
         )
 
     def _decode(self, row: HeldRow) -> tuple[list[Crash], Hold | None]:
-        """Return what a row holds, by the clock of this machine.
+        """Return a row's crashes and hold, by the clock of this machine.
 
         Raises:
-            ValueError: another release wrote something else.
+            ValueError: the row is of an incompatible release.
             TypeError: the same.
         """
-        # Told by a peer before the store has answered, it is as new as can be.
+        # A peer's row that comes before the store has answered counts as new.
         store_s = self._clock.now() if self._clock.known else row.since
         ahead_s = store_s - elapsed_s()
         ends: list[Crash] = []
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -1,4 +1,4 @@
-"""News between instances: counts at targets, and versions of the copied tables."""
+"""Gossip between instances: counts at targets, and anti-entropy of copied tables."""
 
 import asyncio
 import functools
@@ -26,12 +26,12 @@
     TableWatcher,
 )
 
-# What changed is told at once, so every third beat tells all; between them near peers
-# that were told nothing lately hear that this instance lives, and far ones nothing.
+# Changes are sent at once, so every third heartbeat is a full one. In between, near
+# peers that were sent nothing recently get a liveness message, and far ones nothing.
 FULL_HEARTBEAT_PERIOD_BEATS = 3
-# The store answers a watch that has news within 25 ms; slow days take ten times that.
+# The store answers a long poll within 25 ms of a change, or ten times that if slow.
 SLOW_ANSWER_S = 0.3
-# A peer answers within some milliseconds, or it is slow or gone.
+# A peer answers within some milliseconds unless it is slow or lost.
 REQUEST_RETRY_DELAY_S = 0.1
 
 
@@ -39,10 +39,10 @@
     """A table whose own copy lacks changes that a peer has.
 
     Attributes:
-        version: the newest that a peer told of.
-        peer: that told of it.
-        asked_version: the newest when a peer was last asked.
-        timer: until that one, or another, is asked for its copy.
+        version: the newest that a peer reported.
+        peer: that reported it.
+        requested_version: the newest when a peer was last asked.
+        timer: until that peer, or another, is asked for its copy.
     """
 
     __slots__ = ("peer", "requested_version", "timer", "version")
@@ -55,16 +55,16 @@
 
 
 class PeerUpdates:
-    """Sends and takes news.
+    """Sends the own counts and table versions to peers and applies theirs.
 
     Attributes:
-        leaving: told to peers: this instance takes no new work.
+        leaving: sent to peers: this instance takes no new work.
         on_item_started: called with a peer and the target where it started an item.
-        on_count_received: called with a target when a peer told its count there.
+        on_count_received: called with a target when a peer sent its count there.
 
     Args:
         mesh: of peers.
-        fleet: whose counts are told.
+        fleet: whose counts are sent.
         watchers: of the tables whose copies peers may ask for.
         reach: whether the store answers here.
     """
@@ -106,9 +106,9 @@
         mesh.on_messages_received(self._batch_received)
 
     def send_heartbeat(self) -> None:
-        """Tell that this instance lives, and now and then all it has to tell.
+        """Send a full heartbeat at intervals, and liveness messages in between.
 
-        Where there are many peers, contacts elsewhere are told all with each beat.
+        Where there are many peers, far contacts get every heartbeat in full.
         """
         state = self._state()
         self._beats += 1
@@ -128,7 +128,7 @@
         self._mesh.send_near(whole)
 
     def _state(self) -> tuple[Any, ...]:
-        """Return what is told in heartbeats only."""
+        """Return the state that only heartbeats carry."""
         return (
             self._reach.reached,
             self.leaving,
@@ -136,14 +136,14 @@
         )
 
     def _first_heartbeat(self) -> Heartbeat:
-        """Return what a peer that knows nothing is told."""
+        """Return the first heartbeat for a peer."""
         return self._full_heartbeat(with_lengths=True)
 
     def _full_heartbeat(self, with_lengths: bool) -> Heartbeat:
-        """Return all there is to tell.
+        """Return the whole state of this instance.
 
         Lengths of runs are some 45 bytes for each service. Where there are many peers
-        they are told once to each, for all learn them by themselves in some seconds.
+        each is sent them once, as all learn them by themselves within seconds.
         """
         counts = [
             [target, count.online, count.items, count.latest_due]
@@ -161,61 +161,61 @@
         return Heartbeat(counts, versions, self.leaving, self._reach.reached, lengths)
 
     def _appeared(self, member: Member) -> None:
-        """Tell all to a peer that was away and has dropped what it knew.
+        """Send everything to a peer that was lost and has dropped its state.
 
-        One elsewhere hears of this instance with the next beat of a contact.
+        A far peer learns of this instance with the next heartbeat of a contact.
         """
         if self._mesh.is_near(member):
             self._mesh.send(member.id, self._first_heartbeat())
 
     def counts_changed(self) -> None:
-        """Tell the own counts that changed at the end of this turn of the loop.
+        """Send changed own counts at the end of this iteration of the event loop.
 
-        Most changes are peers' word, of which there is nothing to tell; a turn of the
-        loop for each of them was a third of all turns in a fleet of sixty.
+        Most changes are of peers' counts and are not sent on; an iteration for each of
+        those made up a third of all iterations in a fleet of sixty.
         """
         if not self._flushing and self._fleet.occupancy.has_changed:
             self._flushing = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def table_changed(self, table: str) -> None:
-        """Tell peers that the copy of ``table`` has news."""
+        """Announce the version of the copy of ``table`` to peers."""
         version = self._watchers_by_table[table].copy.version
         if version > self._announced_versions.get(table, 0):
             self._announced_versions[table] = version
             self._mesh.gossip(TableNews(table, version))
 
     def _flush(self) -> None:
-        """Tell the counts that changed to whoever may use those targets."""
+        """Send the counts that changed to the instances that may use those targets."""
         self._flushing = False
         occupancy = self._fleet.occupancy
         near: list[list[Any]] = []
         far: dict[str, list[list[Any]]] = {}
         for id in occupancy.take_changed():
             count = occupancy.own_at(id)
-            told = [id, count.online, count.items, count.latest_due]
-            near.append(told)
+            fields = [id, count.online, count.items, count.latest_due]
+            near.append(fields)
             if not self._mesh.large:
                 continue
             target = self._fleet.targets.by_id.get(id)
             if target is not None and target.availability_zone != self._mesh.zone:
-                far.setdefault(target.availability_zone, []).append(told)
-            self._send_to_far_holders(id, told)
+                far.setdefault(target.availability_zone, []).append(fields)
+            self._send_to_far_holders(id, fields)
         if near:
             self._mesh.send_near(Counts(near))
         for zone, counts in far.items():
             self._mesh.send_zone(zone, Counts(counts))
 
-    def _send_to_far_holders(self, target: str, told: list[Any]) -> None:
-        """Tell instances elsewhere that have items at ``target``; they may give way."""
+    def _send_to_far_holders(self, target: str, fields: list[Any]) -> None:
+        """Send counts to far instances with items at ``target``, to preempt them."""
         for instance in self._fleet.occupancy.item_counts_by_instance(target):
             member = self._mesh.members_by_id.get(instance)
             if member is not None and not self._mesh.is_near(member):
-                self._mesh.send(instance, Counts([told]))
+                self._mesh.send(instance, Counts([fields]))
 
-    def _receive_counts(self, peer: str, news: Counts) -> None:
+    def _receive_counts(self, peer: str, message: Counts) -> None:
         occupancy = self._fleet.occupancy
-        for target, *fields in news.counts:
+        for target, *fields in message.counts:
             count = Count(*fields)
             before = occupancy.update_peer_count(peer, target, count)
             if count.items > before.items:
@@ -224,48 +224,50 @@
         self._counts_received = True
 
     def _batch_received(self) -> None:
-        """Tell of the counts that were heard in one turn, once."""
+        """Notify the fleet once of all counts received together."""
         if self._counts_received:
             self._counts_received = False
             self._fleet.notify_changed()
 
-    def _receive_heartbeat(self, peer: str, beat: Heartbeat) -> None:
-        news = self._mesh.roster.set_store_reached(peer, beat.store_reached)
-        if news and not beat.store_reached and self._reads_for_this_zone(peer):
+    def _receive_heartbeat(self, peer: str, heartbeat: Heartbeat) -> None:
+        changed = self._mesh.roster.set_store_reached(peer, heartbeat.store_reached)
+        if changed and not heartbeat.store_reached and self._reads_for_this_zone(peer):
             self._reach.recheck()
-        self._mesh.set_leaving(peer, beat.leaving)
-        counts = {target: Count(*count) for target, *count in beat.counts}
+        self._mesh.set_leaving(peer, heartbeat.leaving)
+        counts = {target: Count(*count) for target, *count in heartbeat.counts}
         if self._fleet.occupancy.update_peer_counts(peer, counts):
             self._counts_received = True
-        for service, *lengths in beat.lengths:
+        for service, *lengths in heartbeat.lengths:
             self._fleet.run_lengths(service).told(lengths)
-        for table, version in beat.versions.items():
+        for table, version in heartbeat.versions.items():
             self._note_peer_version(peer, table, version)
 
     def _reads_for_this_zone(self, peer: str) -> bool:
         """Whether a peer may have read tables of the store for this instance."""
         return self._mesh.members_by_id[peer].zone == self._mesh.zone
 
-    def _receive_table_news(self, peer: str, news: TableNews) -> None:
-        self._note_peer_version(peer, news.table, news.version)
+    def _receive_table_news(self, peer: str, message: TableNews) -> None:
+        self._note_peer_version(peer, message.table, message.version)
 
-    # Changes of tables that one instance of a zone reads for the others.
+    # Table changes that one instance of a zone reads for the others.
 
     def _publish(
         self, watcher: TableWatcher, rows: list[StoredRow], since: int, version: int
     ) -> None:
-        """Tell near peers what the store had as news, if it is read for them."""
+        """Send near peers the changes read from the store, if this is their reader."""
         table = watcher.copy.table
         if not self._mesh.large or not watcher.is_reader:
             return
-        told = [
+        changed_rows = [
             [row.key.part, row.key.key, row.value, row.version, row.removed]
             for row in rows
         ]
         now = asyncio.get_running_loop().time()
         after_outage = self._fleet.targets.may_have_lapsed(now)
         self._announced_versions[table] = version
-        self._mesh.send_near(TableChanges(table, since, version, told, after_outage))
+        self._mesh.send_near(
+            TableChanges(table, since, version, changed_rows, after_outage)
+        )
 
     def _receive_table_changes(self, peer: str, changes: TableChanges) -> None:
         watcher = self._watchers_by_table.get(changes.table)
@@ -279,13 +281,13 @@
             StoredRow(RowKey(changes.table, part, key), value, version, removed)
             for part, key, value, version, removed in changes.rows
         ]
-        # All near peers were told.
-        told = self._announced_versions.get(changes.table, 0)
-        self._announced_versions[changes.table] = max(told, changes.version)
+        # All near peers were sent these.
+        announced = self._announced_versions.get(changes.table, 0)
+        self._announced_versions[changes.table] = max(announced, changes.version)
         watcher.apply_changes_from_peer(rows, changes.since, changes.version, peer)
 
     def _peer_lost(self, member: Member) -> None:
-        """Read in its place, if that falls to this instance."""
+        """Start reading in place of a lost reader if this instance is the next."""
         if member.zone == self._mesh.zone:
             for watcher in self._watchers_by_table.values():
                 watcher.readers_changed()
@@ -309,16 +311,16 @@
     def _includes(self, table: str, version: int) -> bool:
         """Whether the own copy includes all changes up to ``version``.
 
-        A row that a whole read no longer has is dated by that read, so the version of
-        a copy may lie beyond the last change; whoever read on from there lacks nothing.
+        A row that a snapshot no longer has gets the snapshot's version, so the version
+        of a copy may lie beyond the last change; a copy read up to there is complete.
         """
         copy = self.copy_of(table)
         return version <= max(copy.version, copy.read_version)
 
     def _store_wait_s(self, table: str) -> float:
-        """Return how long the store has to tell what a peer knows already.
+        """Return how long the store has to return a change that a peer already has.
 
-        A table that is watched now and then only is behind most of the time.
+        A table that is polled at intervals is behind most of the time.
         """
         spacing_s = self._watchers_by_table[table].min_interval_s
         if not spacing_s or not self._reach.reached:
@@ -330,13 +332,13 @@
         return loop.call_later(delay_s, self._request_if_stale, table)
 
     def _request_if_stale(self, table: str) -> None:
-        """Ask one peer for its copy, and another if that gives no answer soon."""
+        """Ask a peer for its copy; ask again, or another, if no answer comes soon."""
         behind = self._stale_by_table[table]
         if self._includes(table, behind.version):
             del self._stale_by_table[table]
             return
         if not self._mesh.send(behind.peer, TableAsk(table)):
-            del self._stale_by_table[table]  # the next heartbeat of a peer tells again
+            del self._stale_by_table[table]  # a peer's next heartbeat starts anew
             return
         behind.requested_version = behind.version
         behind.timer = self._schedule_request(REQUEST_RETRY_DELAY_S, table)
--- a/src/caperridge/gateway/rows.py
+++ b/src/caperridge/gateway/rows.py
@@ -176,14 +176,14 @@
     """
     rows: list[StoredRow] = []
     first = ""
-    begun: RowsRead | None = None
+    first_page: RowsRead | None = None
     while True:
         answer = await store.read(table, part, first=first)
         if isinstance(answer, Err):
             return answer
         page: RowsRead = answer.ok_value
-        begun = begun or page
+        first_page = first_page or page
         rows += page.rows
         if not page.truncated:
-            return Ok(RowsRead(rows, False, begun.version, begun.now_s))
+            return Ok(RowsRead(rows, False, first_page.version, first_page.now_s))
         first = page.rows[-1].key.key + "\x00"
--- a/src/caperridge/gateway/table_copy.py
+++ b/src/caperridge/gateway/table_copy.py
@@ -1,15 +1,15 @@
-"""A local copy of one table of the store, which never goes back.
+"""A local replica of one table of the store, monotonic in its versions.
 
-It is fed with whole reads, changes and the copies of peers, in any order and doubled.
-Reads may be stale, so a whole read that is older than the copy takes nothing away.
+It takes snapshots, changes and the copies of peers, in any order and repeatedly. Reads
+may be stale, so a snapshot that is older than the copy removes nothing.
 """
 
 from collections.abc import Iterable, Sequence
 
 from caperridge.gateway.rows import RowKey, StoredRow
 
-# Removed rows whose versions are remembered, some 150 bytes each. A copy that still has
-# an older one is some seconds old; in that time a few hundred rows are removed at most.
+# Tombstones are some 150 bytes each. A peer's copy that still has an older row is some
+# seconds old; at most a few hundred rows are removed in that time.
 MAX_TOMBSTONES = 5000
 
 
@@ -19,7 +19,7 @@
     Attributes:
         table: name of the table.
         version: of the newest change that the copy includes.
-        read_version: up to which changes were heard; changes are asked for from here.
+        read_version: up to which changes were read; the next are requested from here.
         settled_version: nothing changed after it up to ``read_version``.
     """
 
@@ -33,17 +33,17 @@
 
     @property
     def loaded(self) -> bool:
-        """Whether a whole copy was ever had."""
+        """Whether the copy has had a snapshot."""
         return self.read_version >= 0
 
     def apply_snapshot(
         self, rows: Iterable[StoredRow], version: int
     ) -> list[StoredRow]:
-        """Take a whole read as of ``version``; return what it changed.
+        """Apply a snapshot as of ``version``; return what it changed.
 
         One that is older than the copy may still list rows that were written since, but
-        what it lacks or lists from before says nothing. Rows that were written after it
-        stay, whatever it says.
+        its older rows and missing rows are ignored. Rows that were written after the
+        snapshot stay in any case.
         """
         if version < self.read_version:
             return [row for row in rows if self.apply_row(row)]
@@ -62,7 +62,7 @@
     def apply_changes(
         self, rows: Sequence[StoredRow], since: int, version: int
     ) -> list[StoredRow]:
-        """Take all changes after ``since`` up to ``version``; return those of news."""
+        """Apply all changes after ``since`` up to ``version``; return the new ones."""
         changed = [row for row in rows if self.apply_row(row)]
         if since <= self.read_version:
             self.read_version = max(self.read_version, version)
@@ -71,9 +71,9 @@
         return changed
 
     def apply_row(self, row: StoredRow) -> bool:
-        """Take one row that was written or seen apart; return whether it was news.
+        """Apply one row that was written or read by itself; return if it was new.
 
-        A row that is not known though the copy reaches beyond its version was removed.
+        A row that is unknown though the copy reaches beyond its version was removed.
         """
         if row.key not in self.rows_by_key and row.version <= self.read_version:
             return False
--- a/src/caperridge/gateway/table_readers.py
+++ b/src/caperridge/gateway/table_readers.py
@@ -1,20 +1,20 @@
-"""Which instances watch a table of the store for the others of their availability zone.
+"""Choice of reader: which instances poll a table for their availability zone.
 
-Where there are many instances, two of each zone watch a table, chosen by rendezvous
-hashing, and pass its changes on; the others look for themselves now and then. Two
-instances with different views may both read, or neither for a moment.
+Where there are many instances, two of each zone poll a table, chosen by rendezvous
+hashing, and forward its changes; the others poll at long intervals. Two instances with
+different views may both read, or neither for a moment.
 """
 
 from caperridge.decisions.rendezvous import score
 from caperridge.gateway.mesh.mesh import Mesh
 from caperridge.gateway.watcher import StoreReachability
 
-# One may stand still or be lost; its peers find out within 1.5 s.
+# One may stall or be lost; its peers find out within 1.5 s.
 READERS_PER_ZONE = 2
 
 
 class TableReaders:
-    """Says which tables this instance reads for its zone.
+    """Chooses the tables that this instance reads for its zone.
 
     Args:
         mesh: of peers.
@@ -30,7 +30,7 @@
         self._reads_by_table: dict[str, bool] = {}
 
     def reads(self, table: str) -> bool:
-        """Whether this instance watches ``table`` all the time."""
+        """Whether this instance polls ``table`` continuously."""
         if not self._mesh.large or not self._reach.reached:
             return True
         if self._mesh.changes != self._key:
--- a/src/caperridge/gateway/table_rows.py
+++ b/src/caperridge/gateway/table_rows.py
@@ -1,7 +1,7 @@
-"""What rows of the copied tables change: configuration, targets and the jobs' index.
+"""Application of table rows to the configuration, the targets and the job index.
 
-Anybody may have written a row of targets. One that names no target to use is left out,
-with a line that says all that is wrong; the others hold.
+Rows of targets may come from any writer. An invalid one is skipped and logged with all
+its faults; the others are applied.
 """
 
 import asyncio
@@ -21,20 +21,20 @@
 
 
 class TableRows:
-    """Takes rows that were news; ``source`` is who told of them.
+    """Applies changed rows; ``source`` is who sent them.
 
     Attributes:
-        on_applied: called with a table's name after rows of it were taken.
-        on_target_removed: called with a target that is listed no more.
-        on_target_replaced: called with a target of which a later life is listed.
+        on_applied: called with a table's name after rows of it were applied.
+        on_target_removed: called with a target that is no longer listed.
+        on_target_replaced: called with a target whose later incarnation is listed.
 
     Args:
         dialect: decodes rows.
         configuration: offered new versions.
         fleet: whose targets are listed.
-        client: ends runs at targets whose life is over.
+        client: ends runs at targets that were replaced.
         index: of jobs.
-        metrics: shows the version in force.
+        metrics: exports the version in force.
     """
 
     def __init__(
@@ -57,21 +57,21 @@
         self.on_target_replaced: Callable[[Target], None] = lambda target: None
 
     def apply_configuration(self, rows: list[StoredRow], source: str) -> None:
-        """Put a later configuration in force."""
+        """Put a newer configuration in force."""
         for row in rows:
             if row.key.key != self._dialect.configuration_key or row.removed:
                 continue
             try:
                 table = self._dialect.configuration(row.value)
             except DecodeError as error:
-                log.error("configuration skipped", reason=str(error), source=source)
+                log.error("invalid configuration", reason=str(error), source=source)
                 continue
             if self._configuration.offer(table, source):
                 self._metrics.configuration_version.set(table.version)
         self.on_applied(self._dialect.configuration_table)
 
     def apply_targets(self, rows: list[StoredRow], source: str) -> None:
-        """List targets, and those no more that are gone."""
+        """Add, update and remove targets."""
         now = asyncio.get_running_loop().time()
         for row in rows:
             if not row.removed:
@@ -82,7 +82,7 @@
             self._fleet.targets.remove(name, now)
             if target is not None and self._fleet.targets.find_by_name(name) is None:
                 self.on_target_removed(target)
-            log.info("target gone", target=name, source=source, version=row.version)
+            log.info("target removed", target=name, source=source, version=row.version)
         self._fleet.targets_known = True
         self._fleet.discard_removed()
         self._fleet.notify_changed()
@@ -95,7 +95,7 @@
             target = self._dialect.target(name, row.value)
         except DecodeError as error:
             log.error(
-                "target skipped",
+                "invalid target",
                 target=name,
                 version=row.version,
                 source=source,
@@ -112,16 +112,16 @@
                 source=source,
                 version=row.version,
             )
-        over = targets.put(target)
-        if over is None:
+        replaced = targets.put(target)
+        if replaced is None:
             return
-        ended = self._client.abort_runs(over.id)
-        self.on_target_replaced(over)
+        ended = self._client.abort_runs(replaced.id)
+        self.on_target_replaced(replaced)
         log.info(
-            "target started again", target=target.id, before=over.id, runs_ended=ended
+            "target restarted", target=target.id, before=replaced.id, runs_ended=ended
         )
 
     def apply_index(self, rows: list[StoredRow], source: str) -> None:
-        """Take entries of jobs."""
+        """Apply entries of jobs."""
         self._index.apply_rows(rows)
         self.on_applied(self._index.copy.table)
--- a/src/caperridge/gateway/watcher.py
+++ b/src/caperridge/gateway/watcher.py
@@ -1,4 +1,4 @@
-"""Keeping a copy of a table up to date, by the store and by peers."""
+"""Replication of a table: a local copy updated by long polls and from peers."""
 
 import asyncio
 import contextlib
@@ -19,17 +19,18 @@
 
 log = logger(__name__)
 
-# How long the store may hold the answer to a watch. Longer saves calls; a dead
-# connection is noticed only after it.
+# Longest time the store may delay an answer. A longer one saves calls, but a dead
+# connection is only noticed after it.
 LONG_POLL_S = 2.0
 MIN_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 0.6
-# A version that a peer has is asked for when the store has not told it by then.
+# Time the store has to return a version that a peer already has, before it is requested
+# from the peer.
 PEER_COPY_DELAY_S = 0.04
-# How seldom a table is looked at that others read. With four tables an instance finds
-# every 3 s whether the store answers it.
+# Interval of polls of a table that other instances read. With four tables an instance
+# finds out every 3 s whether it reaches the store.
 NON_READER_POLL_S = 12.0
-# Share of that pause by which looks are spread.
+# Share of that interval by which polls are spread.
 POLL_JITTER = 0.5
 
 Changed = Callable[[list[StoredRow], str], None]
@@ -37,7 +38,7 @@
 
 
 class StoreReachability:
-    """Whether the store answers this instance, as its watches find."""
+    """Whether the store answers this instance, from the results of its polls."""
 
     def __init__(self) -> None:
         self.reached = False
@@ -46,20 +47,20 @@
         self._recheck_callbacks: list[Callable[[], None]] = []
 
     def on_recovered(self, call: Callable[[float], None]) -> None:
-        """Have ``call`` called with the time when the store answers again."""
+        """Call ``call`` with the time when the store answers again."""
         self._recovered_callbacks.append(call)
 
     def on_recheck(self, call: Callable[[], None]) -> None:
-        """Have ``call`` called when the store should be looked at again."""
+        """Call ``call`` when the store should be polled again."""
         self._recheck_callbacks.append(call)
 
     def recheck(self) -> None:
-        """Have the watches find out whether the store answers."""
+        """Have the watchers poll the store now."""
         for call in self._recheck_callbacks:
             call()
 
     def record_success(self) -> None:
-        """Note that the store answered."""
+        """Record that the store answered."""
         if self.reached:
             return
         now = asyncio.get_running_loop().time()
@@ -67,37 +68,37 @@
             round(now - self.unreachable_since, 2) if self.unreachable_since else 0.0
         )
         self.reached = True
-        log.info("store reached", away_s=away_s)
+        log.info("store reachable", away_s=away_s)
         if self.unreachable_since is not None:
             for call in self._recovered_callbacks:
                 call(now)
         self.unreachable_since = None
 
     def record_failure(self, reason: str) -> None:
-        """Note that the store did not answer."""
+        """Record that the store did not answer."""
         if self.unreachable_since is None:
             self.unreachable_since = asyncio.get_running_loop().time()
         was_reached = self.reached
         self.reached = False
         if was_reached:
-            log.warning("store lost", reason=reason)
+            log.warning("store unreachable", reason=reason)
             self.recheck()
 
 
 class TableWatcher:
-    """One task that keeps one table's copy.
+    """Keeps one table's copy up to date in one task.
 
     Attributes:
         publish: called with all rows that changed after one version up to another.
 
     Args:
-        store: asked directly.
+        store: called directly.
         copy: kept up to date.
-        reach: told how the store does.
-        changed: called with rows that were news and who told of them.
-        min_interval_s: between two watches, to collect changes that are not urgent.
-        reads: whether this instance watches a table all the time.
-        chance: spreads looks at tables that others read.
+        reach: gets the outcome of each call.
+        changed: called with rows that changed and their source.
+        min_interval_s: between two polls, to collect changes that are not urgent.
+        reads: whether this instance polls a table continuously.
+        chance: spreads polls of tables that others read.
     """
 
     def __init__(
@@ -122,18 +123,18 @@
         self._changed = changed
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Poll until cancelled."""
         pause_s = MIN_RETRY_DELAY_S
         whole = True
         failed = False
         while True:
-            # The first answer after a failure is not waited for until there is news.
+            # After a failure, ask for an answer at once instead of at the next change.
             wait_s = 0.0 if failed or not self.is_reader else LONG_POLL_S
             answer = await (self._read() if whole else self._watch(wait_s))
             if isinstance(answer, Err):
                 error = answer.err_value
                 if isinstance(error, HistoryGone):
-                    log.info("history gone", table=self.copy.table)
+                    log.info("change history expired", table=self.copy.table)
                     whole = True
                     continue
                 failed = True
@@ -149,20 +150,20 @@
 
     @property
     def is_reader(self) -> bool:
-        """Whether this instance watches the table all the time."""
+        """Whether this instance polls the table continuously."""
         return self._is_reader(self.copy.table)
 
     def poll_now(self) -> None:
-        """Look at the table now if others read it."""
+        """Poll the table now if others read it."""
         self._wake.set()
 
     def readers_changed(self) -> None:
-        """Look at the table now if nobody else reads it any more."""
+        """Poll the table now if this instance has become its reader."""
         if self.is_reader:
             self._wake.set()
 
     async def _wait_for_poll(self) -> None:
-        """Wait while others read the table."""
+        """Wait for the next poll of a table that others read."""
         if self.is_reader:
             return
         pause_s = NON_READER_POLL_S * (1 - POLL_JITTER * self._chance.random())
@@ -174,22 +175,22 @@
     def apply_changes_from_peer(
         self, rows: list[StoredRow], since: int, version: int, peer: str
     ) -> None:
-        """Take changes that a peer read; look for what came before them if need be."""
+        """Apply changes that a peer read; poll now if earlier ones are missing."""
         if not self.copy.loaded:
-            return  # what is not known yet is read whole
+            return  # the first snapshot will include them
         if since > self.copy.read_version:
             self.poll_now()
-        news = self.copy.apply_changes(rows, since, version)
-        if news:
-            self._changed(news, peer)
+        changed_rows = self.copy.apply_changes(rows, since, version)
+        if changed_rows:
+            self._changed(changed_rows, peer)
 
     def apply_snapshot_from_peer(
         self, rows: list[StoredRow], version: int, peer: str
     ) -> None:
-        """Take a whole copy that a peer has."""
-        news = self.copy.apply_snapshot(rows, version)
-        if news:
-            self._changed(news, peer)
+        """Apply a peer's whole copy."""
+        changed_rows = self.copy.apply_snapshot(rows, version)
+        if changed_rows:
+            self._changed(changed_rows, peer)
 
     async def _read(self) -> Err | None:
         answer = await read_all_rows(self._store, self.copy.table)
@@ -198,9 +199,9 @@
         page: RowsRead = answer.ok_value
         self._reach.record_success()
         known = self.copy.loaded
-        news = self.copy.apply_snapshot(page.rows, page.version)
-        if news or not known:
-            self._changed(news, "store")
+        changed_rows = self.copy.apply_snapshot(page.rows, page.version)
+        if changed_rows or not known:
+            self._changed(changed_rows, "store")
         return None
 
     async def _watch(self, wait_s: float) -> Err | None:
@@ -211,10 +212,10 @@
         self._reach.record_success()
         page: RowsRead = answer.ok_value
         settled = self.copy.settled_version
-        news = self.copy.apply_changes(page.rows, since, page.version)
+        changed_rows = self.copy.apply_changes(page.rows, since, page.version)
         if self.copy.settled_version > settled:
-            # All that was read, also what is no news here: it may be elsewhere.
+            # All rows read, also those already known here: peers may lack them.
             self.publish(page.rows, settled, self.copy.settled_version)
-        if news:
-            self._changed(news, "store")
+        if changed_rows:
+            self._changed(changed_rows, "store")
         return None
