--- a/src/caperridge/gateway/configuration.py
+++ b/src/caperridge/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this instance: it only ever goes up."""
+"""The configuration in force at this instance; its version only increases."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class ConfigurationInForce:
-    """Holds the newest version that was seen."""
+    """Holds the newest version that was received."""
 
     def __init__(self) -> None:
         self.table: RoutingTable | None = None
@@ -18,11 +18,11 @@
         self._changed: list[Callable[[], None]] = []
 
     def on_change(self, call: Callable[[], None]) -> None:
-        """Have ``call`` called when another version is in force."""
+        """Call ``call`` when another version is in force."""
         self._changed.append(call)
 
     def offer(self, table: RoutingTable, source: str) -> bool:
-        """Put ``table`` in force if it is newer; ``source`` is who told of it."""
+        """Put ``table`` in force if it is newer; ``source`` is who sent it."""
         before = self.table.version if self.table is not None else None
         if before is not None and table.version <= before:
             return False
--- a/src/caperridge/gateway/observed_store.py
+++ b/src/caperridge/gateway/observed_store.py
@@ -1,4 +1,4 @@
-"""The store with its calls counted and timed, and its clock read off."""
+"""Instrumentation of the store: counts and times its calls and updates its clock."""
 
 import time
 from collections.abc import Awaitable
@@ -23,12 +23,12 @@
 
 
 class ObservedStore(RowStore):
-    """Passes calls on.
+    """Forwards calls and records their outcomes.
 
     Args:
         store: that is called.
-        clock: told the store's time.
-        metrics: counted into.
+        clock: updated from answers.
+        metrics: record calls and their times.
     """
 
     def __init__(
--- a/src/caperridge/gateway/registry.py
+++ b/src/caperridge/gateway/registry.py
@@ -1,4 +1,4 @@
-"""Finding the other instances through the store."""
+"""Discovery of the other instances through a table of the store."""
 
 import asyncio
 import contextlib
@@ -23,11 +23,11 @@
 
 
 class InstanceRegistry:
-    """Lists this instance in the store and reads who else is listed.
+    """Registers this instance in the store and reads the other entries.
 
     Args:
         store: with the table.
-        mesh: told of the others.
+        mesh: learns the other instances.
     """
 
     def __init__(self, store: RowStore, mesh: Mesh) -> None:
@@ -36,18 +36,18 @@
         self._registered = False
 
     async def run(self) -> None:
-        """List and look until cancelled."""
+        """Register and poll until cancelled."""
         pause_s = FIRST_POLL_DELAY_S
         while True:
             if not self._registered:
                 await self._register()
             if await self._read_members() and self._registered:
-                crowd = len(self._mesh.members_by_id) / FULL_RATE_MEMBERS
-                pause_s = POLL_INTERVAL_S * max(1.0, crowd)
+                size_ratio = len(self._mesh.members_by_id) / FULL_RATE_MEMBERS
+                pause_s = POLL_INTERVAL_S * max(1.0, size_ratio)
             await asyncio.sleep(pause_s)
 
     async def deregister(self) -> None:
-        """Take the own entry away, if the store answers soon."""
+        """Remove the own entry, if the store answers in time."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(DEREGISTER_TIMEOUT_S):
                 await self._store.transact(Transaction({}, {}, [self._key()]))
@@ -68,26 +68,26 @@
             try:
                 address, zone = _decode_location(row.value)
             except (ValueError, TypeError) as error:
-                log.error("instance skipped", key=row.key.key, reason=str(error))
+                log.error("invalid instance entry", key=row.key.key, reason=str(error))
                 continue
             self._mesh.learn(row.key.key, address, zone)
         return True
 
 
 def _decode_location(value: bytes) -> tuple[str, str]:
-    """Return where an instance is, address and availability zone.
+    """Return the address and availability zone of an entry.
 
     Raises:
-        ValueError: another release wrote something else.
+        ValueError: the entry is of an incompatible release.
         TypeError: the same.
     """
     fields = unpack(value)
     if not isinstance(fields, list):
-        raise TypeError("is no list")
+        raise TypeError("the entry is not a list")
     address, zone, *_ = fields
     if not isinstance(address, str) or not isinstance(zone, str):
-        raise TypeError("address and zone must be texts")
+        raise TypeError("address and zone must be strings")
     _, _, port = address.rpartition(":")
     if not port.isdigit():
-        raise ValueError("its address has no port")
+        raise ValueError("the address has no port")
     return address, zone
--- a/src/caperridge/gateway/relay_codec.py
+++ b/src/caperridge/gateway/relay_codec.py
@@ -1,4 +1,4 @@
-"""Calls of the store and their answers as plain values, for the way through a peer."""
+"""Serialization of store calls and answers that are relayed through a peer."""
 
 from functools import singledispatch
 from typing import Any
@@ -26,7 +26,7 @@
 
 
 def transaction_from_plain(plain: list[Any]) -> Transaction:
-    """Return the transaction that :func:`transaction_to_plain` made lists of."""
+    """Return the transaction from the result of :func:`transaction_to_plain`."""
     versions, writes, removes = plain
     return Transaction(
         {RowKey(*key): version for *key, version in versions},
@@ -36,13 +36,13 @@
 
 
 def answer_to_plain(answer: Result[Any, Any]) -> tuple[str, Any]:
-    """Return the name of an outcome and what it holds."""
+    """Return the type name of an answer and its values."""
     value = answer.err_value if isinstance(answer, Err) else answer.ok_value
     return type(value).__name__, _plain(value)
 
 
 def answer_from_plain(outcome: str, fields: Any) -> Result[Any, Any]:
-    """Return the answer that :func:`answer_to_plain` made plain."""
+    """Return the answer from the result of :func:`answer_to_plain`."""
     if outcome == RowsRead.__name__:
         rows, truncated, version, now_s = fields
         return Ok(RowsRead([_row(row) for row in rows], truncated, version, now_s))
--- a/src/caperridge/gateway/relayed_store.py
+++ b/src/caperridge/gateway/relayed_store.py
@@ -1,8 +1,8 @@
-"""The store by way of a peer, for an instance that the store turns away.
+"""Failover of store calls to a peer, for an instance that cannot reach the store.
 
-The store may serve some machines and turn others away. A call that certainly was not
-done goes on to a peer that reaches the store; one whose outcome is unknown is given
-back to its caller, who repeats it under the same condition, by a peer then.
+The store may serve some machines and refuse others. A call that was certainly not done
+goes on to a peer that reaches the store. One whose outcome is unknown is returned to
+its caller, who repeats it under the same condition, through a peer then.
 """
 
 import asyncio
@@ -37,15 +37,15 @@
 
 log = logger(__name__)
 
-# After a failure, calls go by a peer first for so long; the watches look meanwhile
-# whether the store serves this instance again.
+# After a failure, calls go to a peer first for this long; the table watchers poll
+# meanwhile and find out whether the store serves this instance again.
 PEER_FIRST_S = 1.0
 # A peer in another availability zone is 2 ms away, the store some 25 ms.
 PEER_TIMEOUT_S = 1.0
 
 
 class RelayedStore(RowStore):
-    """Calls the store directly, or through a peer while that does not work.
+    """Calls the store directly, or through a peer while the store is unreachable.
 
     Args:
         store: called directly.
@@ -109,11 +109,11 @@
 
     async def _call(self, name: str, arguments: list[Any]) -> Result[Any, Any]:
         loop = asyncio.get_running_loop()
-        away = (
+        peer_first = (
             loop.time() < self._peer_first_until
             or self._reach.unreachable_since is not None
         )
-        if away:
+        if peer_first:
             answer = await self._call_peer(name, arguments)
             if answer is not None:
                 return answer
@@ -123,15 +123,15 @@
             return answer
         self._peer_first_until = loop.time() + PEER_FIRST_S
         self._reach.recheck()
-        if away or isinstance(answer.err_value, Unknown):
+        if peer_first or isinstance(answer.err_value, Unknown):
             return answer
         relayed = await self._call_peer(name, arguments)
         return answer if relayed is None else relayed
 
     async def _call_peer(self, name: str, arguments: list[Any]) -> Any:
-        """Return a peer's answer; None if there is none to ask or it was not reached.
+        """Return a peer's answer; None if no peer can be asked or reached.
 
-        A write that a peer was asked for and did not answer is unknown.
+        A write that a peer was sent and did not answer is unknown.
         """
         peer = self._choose_peer()
         if peer is None:
@@ -145,7 +145,7 @@
             async with asyncio.timeout(PEER_TIMEOUT_S):
                 answer = await future
         except TimeoutError:
-            log.info("peer did not relay", peer=peer.id, call=name)
+            log.info("peer did not answer a relayed call", peer=peer.id, call=name)
             return Err(Unknown("the peer did not answer", reached=False))
         finally:
             del self._pending_by_number[number]
@@ -154,7 +154,7 @@
 
     def _choose_peer(self) -> Member | None:
         alive = [peer for peer in self._mesh.alive() if peer.store_reached]
-        # One that leaves may end before it has the store's answer.
+        # A leaving peer may stop before it has the store's answer.
         reaching = [peer for peer in alive if not peer.leaving] or alive
         near = [peer for peer in reaching if peer.zone == self._mesh.zone]
         choices = near or reaching
@@ -186,7 +186,7 @@
     """Call ``store`` with plain arguments.
 
     Raises:
-        ValueError: there is no such call.
+        ValueError: the call is unknown.
     """
     if name == "transact":
         return await store.transact(transaction_from_plain(arguments))
@@ -198,7 +198,7 @@
         return await store.get_object(*arguments)
     if name == "drop_object":
         return await store.drop_object(*arguments)
-    raise ValueError(f"no call {name}")
+    raise ValueError(f"unknown call {name}")
 
 
 def _is_failed_call(answer: Result[Any, Any]) -> bool:
--- a/src/caperridge/gateway/repeating_store.py
+++ b/src/caperridge/gateway/repeating_store.py
@@ -1,9 +1,9 @@
-"""Calls of the store that are made again when their answer is overdue.
+"""Hedged calls of the store: a call whose answer is overdue is sent again.
 
-An answer may be lost though the call was done, and its connection says nothing more.
-Waiting for the time-out of a call then costs a job's caller its objective, and results
-that are ready come late. The same call made again settles it: a transaction has
-conditions, so that of both one takes effect at most, and an object is the same twice.
+An answer may be lost though the call was done, without an error on its connection.
+Waiting for the call's time-out then costs a job's caller its objective, and finished
+results arrive late. Sending the same call again is safe: a transaction has conditions,
+so at most one of both takes effect, and writing an object twice is idempotent.
 """
 
 import asyncio
@@ -30,21 +30,21 @@
 T = TypeVar("T")
 E = TypeVar("E")
 
-# An answer is overdue after so many times what answers took lately. The store takes
-# calls of one part in turn, so that some wait for a few others.
+# An answer is overdue after this many times the recent mean. The store handles the
+# calls of one part in sequence, so that some wait for a few others.
 HEDGE_DELAY_RATIO = 4.0
-# Not sooner, however fast the store is: a pause of this process must not look like it.
+# Lower bound for a fast store, so that a pause of this process does not look overdue.
 MIN_HEDGE_DELAY_S = 0.08
-# A store that is slow answers in the end; more calls would make it slower.
+# A slow store answers in the end; more calls would make it slower.
 MAX_CALLS = 3
 SMOOTHING_RATIO = 0.3
 
 
 class HedgingStore(RowStore):
-    """Makes transactions and writes of objects again when they are overdue.
+    """Sends transactions and writes of objects again when they are overdue.
 
-    Only for callers to whom it is the same whether the first or a later call took
-    effect: one whose effect is there already is refused, and says what is there.
+    Only for callers that treat the first and a later call alike: a call whose effect is
+    there already is refused, with the rows as they are.
 
     Args:
         store: that is called.
@@ -92,9 +92,9 @@
         return await self._store.drop_object(name)
 
     def hedge_delay_s(self, name: str) -> float:
-        """Return after how long an answer to a call is overdue."""
-        usual_s = self._mean_s_by_call.get(name, 0.0)
-        return max(MIN_HEDGE_DELAY_S, HEDGE_DELAY_RATIO * usual_s)
+        """Return the time after which an answer to a call is overdue."""
+        mean_s = self._mean_s_by_call.get(name, 0.0)
+        return max(MIN_HEDGE_DELAY_S, HEDGE_DELAY_RATIO * mean_s)
 
     async def _hedged(
         self, name: str, call: Callable[[], Awaitable[Result[T, E]]]
@@ -106,7 +106,7 @@
                 answer = await _first_conclusive(calls, self.hedge_delay_s(name))
                 if answer is not None:
                     return answer
-                log.info("store overdue", call=name, calls=len(calls))
+                log.info("store call overdue", call=name, calls=len(calls))
             answer = await _first_conclusive(calls, None)
             assert answer is not None
             return answer
@@ -122,23 +122,23 @@
         answer = await call()
         if not isinstance(answer, Err) or isinstance(answer.err_value, Refused):
             took_s = loop.time() - began
-            usual_s = self._mean_s_by_call.get(name, took_s)
-            self._mean_s_by_call[name] = usual_s + SMOOTHING_RATIO * (took_s - usual_s)
+            mean_s = self._mean_s_by_call.get(name, took_s)
+            self._mean_s_by_call[name] = mean_s + SMOOTHING_RATIO * (took_s - mean_s)
         return answer
 
 
 async def _first_conclusive(
     calls: set[asyncio.Task[Result[T, E]]], within_s: float | None
 ) -> Result[T, E] | None:
-    """Return the first answer that settles what became of all calls.
+    """Return the first answer that determines the outcome of all calls.
 
     Args:
         calls: that were made.
-        within_s: how long to wait; None for until all have ended.
+        within_s: how long to wait; None for until all have finished.
 
     Returns:
-        an unknown outcome if all have ended and none settles it; None if there is no
-        answer within that time and calls are left.
+        an unknown outcome if all have finished without a conclusive answer; None if
+        there is no conclusive answer within that time and calls are pending.
     """
     loop = asyncio.get_running_loop()
     until = None if within_s is None else loop.time() + within_s
@@ -149,18 +149,18 @@
         open_calls = {one for one in calls if not one.done()}
         if not open_calls:
             return _inconclusive([one.result() for one in calls])
-        left_s = None if until is None else until - loop.time()
-        if left_s is not None and left_s <= 0:
+        remaining_s = None if until is None else until - loop.time()
+        if remaining_s is not None and remaining_s <= 0:
             return None
         await asyncio.wait(
-            open_calls, timeout=left_s, return_when=asyncio.FIRST_COMPLETED
+            open_calls, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED
         )
 
 
 def _is_conclusive(answer: Result[T, E]) -> bool:
-    """Whether an answer says what became of earlier calls too.
+    """Whether an answer determines the outcome of earlier calls too.
 
-    That one was not done says nothing of another that has no answer.
+    One that was not done leaves the outcome of other unanswered calls open.
     """
     return answer.is_ok() or isinstance(answer.err_value, Refused)
 
--- a/src/caperridge/gateway/rows.py
+++ b/src/caperridge/gateway/rows.py
@@ -1,9 +1,9 @@
-"""The store as the gateway needs it: versioned rows, changes, and objects.
+"""Interface of the store: versioned rows with compare-and-set, changes, and objects.
 
 A transaction checks versions of rows and then writes, all or nothing, in one part.
 Every call ends done, not done, or unknown: an unknown one may still take effect
-seconds later if its conditions hold then, so whatever is decided after it needs a
-condition that it would break.
+seconds later if its conditions hold then, so each later decision needs a condition that
+such an effect would break.
 """
 
 from abc import ABC, abstractmethod
@@ -30,7 +30,7 @@
 class StoredRow(Record):
     """One row as read; ``version`` is that of the transaction that wrote it.
 
-    ``removed`` is set in a change that took the row away.
+    ``removed`` is set in a change that removed the row.
     """
 
     __slots__ = ("key", "removed", "value", "version")
@@ -50,8 +50,8 @@
     Attributes:
         rows: those found, up to the limit.
         truncated: there are more.
-        version: the newest of the store then.
-        now_s: the store's steady clock then, in seconds.
+        version: the newest of the store at that moment.
+        now_s: the store's steady clock at that moment, in seconds.
     """
 
     __slots__ = ("now_s", "rows", "truncated", "version")
@@ -66,12 +66,12 @@
 
 
 class Transaction(Record):
-    """What has to hold and what is written, in one part.
+    """Conditions and writes of a transaction, all in one part.
 
     Attributes:
         versions: version that each row must have, by key; ``ABSENT`` for none.
         writes: new values by key.
-        removes: rows to drop.
+        removes: rows to remove.
     """
 
     __slots__ = ("removes", "versions", "writes")
@@ -98,7 +98,7 @@
 
 
 class Refused(Record):
-    """Not done: a version differed. ``rows`` are those of the conditions, if there."""
+    """Not done: a version differed. ``rows`` are the rows of the conditions."""
 
     __slots__ = ("rows",)
 
@@ -106,7 +106,7 @@
         self.rows = rows
 
     def row(self, key: RowKey) -> StoredRow | None:
-        """Return the row ``key`` as it is; None if it is not there."""
+        """Return the row ``key``; None if it does not exist."""
         for row in self.rows:
             if row.key == key and not row.removed:
                 return row
@@ -114,7 +114,7 @@
 
 
 class HistoryGone(Record):
-    """The store no longer knows the changes since that version."""
+    """The store no longer has the changes since that version."""
 
     __slots__ = ()
 
@@ -125,7 +125,7 @@
 
 
 class RowStore(ABC):
-    """Rows, changes and objects that outlive every instance."""
+    """Durable rows, changes and objects."""
 
     @abstractmethod
     async def read(
@@ -136,13 +136,13 @@
         end: str = "",
         limit: int = 500,
     ) -> Result[RowsRead, StoreError]:
-        """Return rows from key ``first`` up to, without it, ``end``."""
+        """Return rows from key ``first`` up to ``end``, exclusive."""
 
     @abstractmethod
     async def transact(
         self, transaction: Transaction
     ) -> Result[Done, TransactionError]:
-        """Apply ``transaction`` whole or not at all."""
+        """Apply all of ``transaction`` or nothing."""
 
     @abstractmethod
     async def changes(
@@ -155,15 +155,15 @@
 
     @abstractmethod
     async def put_object(self, name: str, data: bytes) -> Result[None, StoreError]:
-        """Keep ``data`` under ``name``; keeping the same again is no error."""
+        """Store ``data`` under ``name``; storing the same again is no error."""
 
     @abstractmethod
     async def get_object(self, name: str) -> Result[bytes | None, StoreError]:
-        """Return the object; None if there is none."""
+        """Return the object; None if it does not exist."""
 
     @abstractmethod
     async def drop_object(self, name: str) -> Result[None, StoreError]:
-        """Remove the object if it is there."""
+        """Remove the object if it exists."""
 
 
 async def read_all_rows(
@@ -171,8 +171,8 @@
 ) -> Result[RowsRead, StoreError]:
     """Read all rows of a table's part, page by page.
 
-    The version and time are those of the first page: rows that were written since may
-    be there or not.
+    The version and time are those of the first page; rows that were written during the
+    read may be included or not.
     """
     rows: list[StoredRow] = []
     first = ""
--- a/src/caperridge/gateway/silent_sockets.py
+++ b/src/caperridge/gateway/silent_sockets.py
@@ -1,17 +1,17 @@
-"""Having the system end a connection on which nothing is acknowledged any more.
+"""Detection of dead connections by the system: TCP user timeout and keepalive.
 
-A connection may go silent for good without a reset: a machine on its way has forgotten
-it, or the other end has gone without a word. The system would keep it for minutes.
+A connection may fail for good without a reset: a machine on its way has lost its state,
+or the other end is gone. By default the system would keep it open for minutes.
 """
 
 import socket
 
-# The least that the system can be asked for.
+# The shortest interval that the system supports.
 KEEPALIVE_INTERVAL_S = 1
 
 
 def set_user_timeout(connection: socket.socket, unacknowledged_ms: int) -> None:
-    """End ``connection`` when what was sent is not acknowledged for so long."""
+    """Have the system close ``connection`` when data stays unacknowledged this long."""
     if hasattr(socket, "TCP_USER_TIMEOUT"):
         connection.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged_ms
@@ -19,10 +19,10 @@
 
 
 def enable_keepalive(connection: socket.socket) -> None:
-    """Have the system ask after an idle ``connection``, each second.
+    """Have the system probe an idle ``connection`` each second.
 
-    With :func:`set_user_timeout` it ends when there is no answer; one that waits for an
-    answer, or is kept for the next call, does not find out by itself.
+    With :func:`set_user_timeout` it is closed when a probe is not answered. A caller
+    that waits for an answer, or holds it for the next call, would not notice otherwise.
     """
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for name in ("TCP_KEEPIDLE", "TCP_KEEPINTVL"):
--- a/src/caperridge/gateway/unowned.py
+++ b/src/caperridge/gateway/unowned.py
@@ -1,8 +1,8 @@
-"""Runs at targets that no live instance knows of, after instances were lost.
+"""Detection of orphaned runs at targets after instances were lost.
 
 An instance that loses power closes no connection: its runs go on at their targets for
-seconds, in slots that look free. While that may be so, the instance that grants a
-target's slots asks the target how much it does, and tells the others what is too much.
+seconds, in slots that look free. For that time the instance that grants a target's
+slots asks the target for its load and sends the excess to the others.
 """
 
 import asyncio
@@ -23,25 +23,25 @@
 
 log = logger(__name__)
 
-# Longer than most runs of items; whatever was left behind has ended by then.
+# Longer than most runs of items, so that orphaned runs have ended by then.
 SCAN_DURATION_S = 7.0
 SCAN_INTERVAL_S = 0.25
-# A target's word is some 100 ms old; one that comes no more is forgotten after this.
+# A target's load is some 100 ms old; without updates it expires after this time.
 REPORT_TTL_S = 0.8
 LOAD_TIMEOUT_S = 0.3
-# Stands in the counts for whoever started those runs.
+# Key of the orphaned runs in the counts by instance.
 ORPHANED = "?"
 
 
 class OrphanedRunScan:
-    """Asks targets while there may be runs that nobody knows of.
+    """Polls targets while there may be orphaned runs.
 
     Args:
-        fleet: whose counts are completed.
-        client: asks targets.
+        fleet: whose counts get the orphaned runs.
+        client: calls targets.
         dialect: reads their answers.
-        mesh: whose peers are told, and whose losses begin a look.
-        targets: returns those that fall to this instance.
+        mesh: of peers; the loss of one starts a scan.
+        targets: returns those that this instance grants.
     """
 
     def __init__(
@@ -64,15 +64,15 @@
         mesh.on_lost(self._member_lost)
 
     def _member_lost(self, member: Member) -> None:
-        if not member.leaving:  # a planned stop leaves no runs behind
+        if not member.leaving:  # a planned stop leaves no orphaned runs
             self.start_scan()
 
     def start_scan(self) -> None:
-        """Look for a while from now on."""
+        """Poll targets for a while from now on."""
         self._scan_until = asyncio.get_running_loop().time() + SCAN_DURATION_S
 
     async def run(self) -> None:
-        """Look until cancelled; the start is a reason to look."""
+        """Poll until cancelled; also after a start there may be orphaned runs."""
         self.start_scan()
         while True:
             now = asyncio.get_running_loop().time()
@@ -97,38 +97,40 @@
         try:
             load = self._dialect.load(answer.ok_value)
         except DecodeError as error:
-            log.info("load not read", target=target.id, reason=str(error))
+            log.info("invalid load", target=target.id, reason=str(error))
             return
         if not load.may_be_from(target):
-            return  # it has started again, and its entry will say so
+            return  # restarted; its row will show the new incarnation
         occupancy = self._fleet.occupancy
         known = (
             occupancy.total_at(target.id).total
             - occupancy.count_of(ORPHANED, target.id).total
         )
-        unowned = max(0, load.total - known)
-        # A run that just ended may still be in one answer; it is not in the next.
-        lasting = min(unowned, self._last_by_target.get(target.id, 0))
-        self._last_by_target[target.id] = unowned
+        orphaned = max(0, load.total - known)
+        # A run that just ended may still be in one answer, but not in the next.
+        lasting = min(orphaned, self._last_by_target.get(target.id, 0))
+        self._last_by_target[target.id] = orphaned
         if lasting or occupancy.count_of(ORPHANED, target.id).total:
-            news = UnownedRuns(target.id, lasting)
-            self._mesh.send_near(news)
-            self._record_count(self._mesh.instance, news)
-
-    def _record_count(self, peer: str, news: UnownedRuns) -> None:
-        before = self._fleet.occupancy.count_of(ORPHANED, news.target).total
-        self._recorded_at_by_target[news.target] = asyncio.get_running_loop().time()
-        if before == news.count:
+            message = UnownedRuns(target.id, lasting)
+            self._mesh.send_near(message)
+            self._record_count(self._mesh.instance, message)
+
+    def _record_count(self, peer: str, message: UnownedRuns) -> None:
+        before = self._fleet.occupancy.count_of(ORPHANED, message.target).total
+        self._recorded_at_by_target[message.target] = asyncio.get_running_loop().time()
+        if before == message.count:
             return
-        log.info("orphaned runs", target=news.target, count=news.count, source=peer)
+        log.info(
+            "orphaned runs", target=message.target, count=message.count, source=peer
+        )
         self._fleet.occupancy.update_peer_count(
-            ORPHANED, news.target, Count(news.count)
+            ORPHANED, message.target, Count(message.count)
         )
         self._fleet.notify_changed()
 
     def _expire(self, now: float) -> None:
-        for target, told_at in list(self._recorded_at_by_target.items()):
-            if now - told_at > REPORT_TTL_S:
+        for target, recorded_at in list(self._recorded_at_by_target.items()):
+            if now - recorded_at > REPORT_TTL_S:
                 del self._recorded_at_by_target[target]
                 self._fleet.occupancy.update_peer_count(ORPHANED, target, Count())
                 self._fleet.notify_changed()
