--- a/src/caperridge/gateway/mesh/messages.py
+++ b/src/caperridge/gateway/mesh/messages.py
@@ -51,7 +51,8 @@
         versions: newest change by table.
         leaving: the instance takes no new work.
         store_reached: the store answers it.
-        lengths: how long runs take: service, and what :meth:`RunLengths.told` takes.
+        lengths: how long runs take: service, and what :meth:`RunStatistics.merge`
+            takes.
     """
 
     __slots__ = ("counts", "leaving", "lengths", "store_reached", "versions")
