--- a/src/caperridge/gateway/__init__.py
+++ b/src/caperridge/gateway/__init__.py
@@ -1,6 +1,6 @@
-"""Serves opaque requests by routes: online ones at once, items of jobs in the gaps.
+"""A gateway for opaque requests: online ones at once, items of jobs in free slots.
 
-Unlike :mod:`caperridge.instance`, which reads prompts and speaks the engines' own
-dialect, this room passes methods, paths, headers and bodies on as they came. What the
-wire calls things is told to it by an adapter, see :mod:`caperridge.gateway.dialect`.
+Unlike :mod:`caperridge.instance`, which parses prompts and uses the protocol of the
+engines, this package forwards methods, paths, headers and bodies unchanged. An adapter
+defines names and formats on the wire, see :mod:`caperridge.gateway.dialect`.
 """
--- a/src/caperridge/gateway/listeners.py
+++ b/src/caperridge/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""Listeners of an instance: callers, readiness and metrics."""
+"""The HTTP listeners of an instance: callers, readiness and metrics."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,9 +11,9 @@
 from caperridge.door import Door
 
 BACKLOG = 1024
-# Callers take up connections that have rested for most of the idle limit.
+# Callers reuse connections that have been idle for most of the idle limit.
 KEEPALIVE_S = 75.0
-# The library takes 8 KB a line unless told; deployments allow heads of 16 KB and more.
+# The library's default is 8 KB a line; deployments allow heads of 16 KB and more.
 MAX_HEAD_BYTES = 64 * 2**10
 
 
@@ -21,9 +21,9 @@
     """One HTTP listener.
 
     Args:
-        application: that serves it.
+        application: serves its requests.
         host: address to listen on.
-        port: of TCP.
+        port: TCP port.
     """
 
     def __init__(self, application: web.Application, host: str, port: int) -> None:
@@ -42,7 +42,7 @@
         self._door: Door | None = None
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         await self._runner.setup()
         self._door = await Door.open(
             self._runner.server, self._host, self._port, backlog=BACKLOG
@@ -50,28 +50,28 @@
 
     @property
     def connections(self) -> int:
-        """How many connections are open, with or without a request."""
+        """Number of open connections, with or without a request."""
         server = self._runner.server
         return len(server.connections) if server is not None else 0
 
     async def stop_accepting(self) -> None:
-        """Take no more connections; requests on those that are open go on."""
+        """Close the listening socket; requests on open connections continue."""
         if self._door is not None:
             await self._door.close()
             self._door = None
 
     async def drain_connections(self, until: float) -> int:
-        """End each connection when no request runs on it; return how many are left.
+        """Close each connection once it is idle; return how many remain open.
 
         Args:
-            until: end of the wait, on the loop's clock.
+            until: end of the wait, on the event loop's clock.
         """
         if self._runner.server is None:
             return 0
         return await self._connections.end_all(self._runner.server, until)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listening socket and all connections."""
         await self.stop_accepting()
         await self._runner.cleanup()
 
@@ -79,7 +79,7 @@
 def ready_application(
     ready: Callable[[], bool], state: Callable[[], Any]
 ) -> web.Application:
-    """Return what answers whether the instance takes callers, and its dump."""
+    """Return the application of the readiness check and the state dump."""
 
     async def readyz(_: web.Request) -> web.Response:
         return web.Response(status=200 if ready() else 503)
@@ -96,7 +96,7 @@
 
 
 def metrics_application(registry: CollectorRegistry) -> web.Application:
-    """Return what serves the metrics as text."""
+    """Return the application that serves the metrics in the Prometheus text format."""
 
     async def metrics(_: web.Request) -> web.Response:
         body = generate_latest(registry)
--- a/src/caperridge/gateway/metrics.py
+++ b/src/caperridge/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a gateway instance, in a registry of their own."""
+"""The Prometheus metrics of a gateway instance, in a separate registry."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
@@ -8,7 +8,13 @@
 
 
 class GatewayMetrics:
-    """All of them; labels are few words each, never a caller's."""
+    """All metrics of an instance.
+
+    Labels have few values, none of which comes from a caller.
+
+    Attributes:
+        registry: holds all metrics.
+    """
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -1,4 +1,4 @@
-"""One gateway instance: its parts, wired, and its start and stop."""
+"""Composition root of a gateway instance: its parts, its start and its stop."""
 
 import asyncio
 import random
@@ -66,39 +66,59 @@
 log = logger(__name__)
 
 TICK_INTERVAL_S = 0.4
-# Signs of life are most of what an idle instance of a large fleet sends and hears: 85
+# Heartbeats are most of what an idle instance of a large fleet sends and receives: 85
 # messages a second with 63 instances at 0.4 s.
 HEARTBEAT_INTERVAL_S = 0.6
-# Nothing that is decided by the index is decided by the copy alone, so it may lag.
+# The copy of the index may lag, because no decision rests on it alone.
 INDEX_READ_INTERVAL_S = 0.7
-# Peers tell of held requests at once; the store does for whoever hears no peer, and so
-# well within the seconds after which an instance has to know.
+# Peers announce quarantined requests at once. An instance without peers reads them from
+# the store, well within the seconds in which it has to learn of them.
 QUARANTINE_READ_INTERVAL_S = 0.5
 PROBE_INTERVAL_S = 0.5
-# Well above what timers are late on a busy machine, and well below the silence after
-# which peers lose this instance.
+# Well above the delay of timers on a busy machine, and well below the silence after
+# which peers declare this instance lost.
 MIN_STALL_S = 0.3
 
 
 class GatewayInstance:
-    """Everything of one instance.
+    """One gateway instance with all its parts.
+
+    Attributes:
+        settings: of the instance.
+        metrics: its registry of metrics.
+        configuration: in force.
+        fleet: the targets.
+        clock: of the store.
+        store_reachability: whether the store answers.
+        index: of jobs.
+        mesh: connections to peers.
+        client: sends requests to targets.
+        guard: quarantine of requests.
+        granting: of slots for items.
+        keeper: runs the jobs held here.
+        recalls: of granted slots.
+        orphan_scan: finds runs that no live instance owns.
+        edge: serves callers.
+        updates: exchanged with peers.
+        registry: of instances, in the store.
+        sweeper: deletes old jobs.
 
     Args:
         settings: of the instance.
         dialect: of the wire.
-        store: that keeps what lasts.
+        store: the shared store.
     """
 
     def __init__(self, settings: Settings, dialect: Dialect, store: RowStore) -> None:
         self.settings = settings
         self._dialect = dialect
-        chance = random.Random(secrets.randbits(64))
+        rng = random.Random(secrets.randbits(64))
         incarnation = new_incarnation(settings.instance)
         self.metrics = GatewayMetrics()
         self.configuration = ConfigurationInForce()
-        self.fleet = Fleet(settings.instance, settings.availability_zone, chance)
+        self.fleet = Fleet(settings.instance, settings.availability_zone, rng)
         self.clock = StoreClock()
-        self.reach = StoreReachability()
+        self.store_reachability = StoreReachability()
         self.index = JobIndex()
         self.mesh = Mesh(
             settings.instance,
@@ -106,21 +126,23 @@
             settings.availability_zone,
             settings.peers,
             settings.seeds,
-            chance,
+            rng,
         )
         self.metrics.registry.register(self.mesh.traffic)
-        relayed = RelayedStore(store, self.mesh, self.reach, chance)
+        relayed = RelayedStore(store, self.mesh, self.store_reachability, rng)
         store = ObservedStore(relayed, self.clock, self.metrics)
         self._store = store
-        repeating = HedgingStore(store)
+        hedging = HedgingStore(store)
         self.client = TargetClient(dialect)
         quarantine = Quarantine()
-        held_rows = QuarantineTable(repeating, self.clock, self.reach, quarantine)
-        self._target_ends = CrashDetector(self.fleet)
+        quarantine_table = QuarantineTable(
+            hedging, self.clock, self.store_reachability, quarantine
+        )
+        self._crash_detector = CrashDetector(self.fleet)
         self.guard = RequestGuard(
             quarantine,
-            self._target_ends,
-            held_rows,
+            self._crash_detector,
+            quarantine_table,
             self.mesh,
             self.fleet,
             self.metrics,
@@ -135,15 +157,15 @@
             self.clock,
             slots,
             SlotBroker(settings.instance),
-            chance,
+            rng,
         )
         self.keeper = JobKeeper(
             store,
             self.index,
             self.configuration,
             self.mesh,
-            self.reach,
-            JobWriter(repeating, incarnation, settings.row_bytes),
+            self.store_reachability,
+            JobWriter(hedging, incarnation, settings.row_bytes),
             JobClaimer(store, self.mesh),
             slots,
             self.granting,
@@ -151,10 +173,10 @@
         self.recalls = SlotRecalls(
             self.mesh, self.fleet, self.granting, slots, self.keeper.held_jobs
         )
-        self.unowned = OrphanedRunScan(
+        self.orphan_scan = OrphanedRunScan(
             self.fleet, self.client, dialect, self.mesh, self._granted_in_service
         )
-        acceptance = JobAcceptance(repeating, self.index, self.clock, chance)
+        acceptance = JobAcceptance(hedging, self.index, self.clock, rng)
         limits = AnswerLimits()
         jobs = JobsEdge(
             store, self.index, acceptance, self.keeper, self.metrics, limits
@@ -173,58 +195,70 @@
             self.index,
             self.metrics,
         )
-        self._watchers = self._make_watchers(dialect, chance)
-        self.news = PeerUpdates(self.mesh, self.fleet, self._watchers, self.reach)
+        self._watchers = self._make_watchers(dialect, rng)
+        self.updates = PeerUpdates(
+            self.mesh, self.fleet, self._watchers, self.store_reachability
+        )
         self.registry = InstanceRegistry(store, self.mesh)
         self.sweeper = JobSweeper(
             store, self.index, self.clock, self.mesh, settings.jobs_kept_s
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._door = _listener(self.edge.application(), settings.callers)
-        self._listeners = [self._door]
-        self._wire()
+        self._caller_listener = _listener(self.edge.application(), settings.callers)
+        self._listeners = [self._caller_listener]
+        self._connect_parts()
 
     def _make_watchers(
-        self, dialect: Dialect, chance: random.Random
+        self, dialect: Dialect, rng: random.Random
     ) -> list[TableWatcher]:
-        readers = TableReaders(self.mesh, self.reach)
+        readers = TableReaders(self.mesh, self.store_reachability)
 
-        def watcher(copy: TableCopy, taker: Changed, spacing_s: float) -> TableWatcher:
+        def watcher(
+            copy: TableCopy, on_changed: Changed, interval_s: float
+        ) -> TableWatcher:
             return TableWatcher(
-                self._store, copy, self.reach, taker, spacing_s, readers.reads, chance
+                self._store,
+                copy,
+                self.store_reachability,
+                on_changed,
+                interval_s,
+                readers.reads,
+                rng,
             )
 
         configuration = TableCopy(dialect.configuration_table)
         targets = TableCopy(dialect.targets_table)
-        held = self.guard.rows.copy
+        quarantined = self.guard.rows.copy
         return [
             watcher(configuration, self._rows.apply_configuration, 0.0),
             watcher(targets, self._rows.apply_targets, 0.0),
             watcher(self.index.copy, self._rows.apply_index, INDEX_READ_INTERVAL_S),
-            watcher(held, self._held_requests, QUARANTINE_READ_INTERVAL_S),
+            watcher(
+                quarantined, self._apply_quarantine_rows, QUARANTINE_READ_INTERVAL_S
+            ),
         ]
 
-    def _held_requests(self, rows: list[StoredRow], source: str) -> None:
+    def _apply_quarantine_rows(self, rows: list[StoredRow], source: str) -> None:
         self.guard.apply_rows(rows, source)
         self._rows.on_applied(self.guard.rows.copy.table)
 
-    def _wire(self) -> None:
-        self._rows.on_applied = self.news.table_changed
-        self._rows.on_target_removed = self._target_ends.target_removed
-        self._rows.on_target_replaced = self._target_ends.target_restarted
+    def _connect_parts(self) -> None:
+        self._rows.on_applied = self.updates.table_changed
+        self._rows.on_target_removed = self._crash_detector.target_removed
+        self._rows.on_target_replaced = self._crash_detector.target_restarted
         self.edge.read_peers = self.mesh.receive_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
-        self.news.on_item_started = self.granting.slot_used
-        self.news.on_count_received = self._count_told
+        self.updates.on_item_started = self.granting.slot_used
+        self.updates.on_count_received = self._on_peer_count
         self._forwarder.on_placed = self.keeper.check_slots
-        self.reach.on_recovered(self.fleet.targets.store_returned)
+        self.store_reachability.on_recovered(self.fleet.targets.store_returned)
         self.fleet.on_change(self.keeper.fleet_changed)
-        self.fleet.on_change(self.news.counts_changed)
+        self.fleet.on_change(self.updates.counts_changed)
         self.configuration.on_change(self.keeper.schedule_check)
         self.index.on_change(self.keeper.schedule_check)
-        self.mesh.on_lost(self._peer_lost)
+        self.mesh.on_lost(self._on_peer_lost)
 
-    def _count_told(self, target: str) -> None:
+    def _on_peer_count(self, target: str) -> None:
         self.recalls.check(target)
         self.keeper.check_slots(target)
 
@@ -239,7 +273,7 @@
             if target.service in table.services_by_name
         ]
 
-    def _peer_lost(self, member: Member) -> None:
+    def _on_peer_lost(self, member: Member) -> None:
         self.fleet.occupancy.remove_peer(member.id)
         self.fleet.notify_changed()
 
@@ -247,12 +281,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the instance takes callers."""
-        known = self.configuration.table is not None and self.fleet.targets_known
-        return known and not self.edge.closing
+        """Whether the instance accepts callers."""
+        loaded = self.configuration.table is not None and self.fleet.targets_known
+        return loaded and not self.edge.closing
 
     async def start(self) -> None:
-        """Listen and begin to learn; returns at once."""
+        """Start listening and all background tasks, without waiting for readiness."""
         settings = self.settings
         await self.mesh.start()
         ready = ready_application(lambda: self.ready, lambda: state_of(self))
@@ -270,9 +304,9 @@
             loop.create_task(self.keeper.run()),
             loop.create_task(self.registry.run()),
             loop.create_task(self._tick()),
-            loop.create_task(self._beat()),
-            loop.create_task(self._probe()),
-            loop.create_task(self.unowned.run()),
+            loop.create_task(self._send_heartbeats()),
+            loop.create_task(self._probe_unreachable()),
+            loop.create_task(self.orphan_scan.run()),
             loop.create_task(self.sweeper.run()),
             loop.create_task(self.guard.run()),
             loop.create_task(self.guard.rows.run()),
@@ -287,31 +321,42 @@
         )
 
     async def stop(self, grace_s: float) -> int:
-        """Leave without cutting anything; return how many requests were cut."""
+        """Drain and stop.
+
+        Args:
+            grace_s: grace period, in seconds.
+
+        Returns:
+            How many requests were cut off by the end of the grace period.
+        """
         log.info("instance stops", running=self.edge.running)
-        self.news.leaving = True
-        steps = [self._tell_peers, self.keeper.hand_over, self.registry.deregister]
-        return await PlannedStop(self.edge, self._door, steps).run(grace_s)
+        self.updates.leaving = True
+        steps = [
+            self._announce_leaving,
+            self.keeper.hand_over,
+            self.registry.deregister,
+        ]
+        return await PlannedStop(self.edge, self._caller_listener, steps).run(grace_s)
 
-    async def _tell_peers(self) -> None:
-        self.news.send_heartbeat()
+    async def _announce_leaving(self) -> None:
+        self.updates.send_heartbeat()
 
     def reload(self, settings: Settings) -> None:
-        """Take changed settings; those of listeners hold from the next start on."""
+        """Apply changed settings; those of listeners take effect at the next start."""
         self.settings = settings
         log.info("settings reloaded", log_level=settings.log_level)
 
     async def close(self) -> None:
-        """End all tasks and connections at once."""
+        """Close all tasks and connections at once."""
         for close in self.parts().values():
             await close()
 
     def parts(self) -> dict[str, Close]:
-        """Return what closes each part, in the order in which that is done."""
+        """Return the function that closes each part, in closing order."""
         return {
             "tasks": self._end_tasks,
             "peers": self.mesh.stop,
-            "target looks": self._target_ends.close,
+            "target looks": self._crash_detector.close,
             "targets": self.client.close,
             "listeners": self._close_listeners,
         }
@@ -330,45 +375,46 @@
         due = elapsed_s()
         while True:
             now = elapsed_s()
-            if not self._stood_still(watch.look(now - due)):
+            if not self._recover_from_stall(watch.look(now - due)):
                 self.mesh.check_members()
             due = now + TICK_INTERVAL_S
             self.fleet.remote_counts_stale = self.mesh.large
             self.recalls.expire(now)
-            gone = self.fleet.targets.expire(now)
-            if gone:
-                log.info("targets gone after an outage", targets=gone)
+            expired = self.fleet.targets.expire(now)
+            if expired:
+                log.info("targets expired after a store outage", targets=expired)
                 self.fleet.notify_changed()
             self.metrics.peers_alive.set(len(self.mesh.alive()))
             await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _stood_still(self, standstill: Standstill) -> bool:
-        """Whether this process did nothing for a while, and say so.
+    def _recover_from_stall(self, stall: Standstill) -> bool:
+        """Handle a stall of this process; return whether there was one.
 
-        What peers said meanwhile is in its sockets. Were their silence looked at before
-        that is read, all of them would be taken for lost, with all their counts.
+        Messages that peers sent during the stall wait in the sockets. They are read
+        first: a check of the peers' silence before that would declare all of them lost
+        and drop their counts.
         """
-        if standstill.stood_s < MIN_STALL_S:
+        if stall.stood_s < MIN_STALL_S:
             return False
-        self.metrics.standstill.observe(standstill.stood_s)
+        self.metrics.standstill.observe(stall.stood_s)
         self.mesh.receive_now()
         log.warning(
             "instance stood still",
-            stood_s=round(standstill.stood_s, 3),
-            suspended_s=round(standstill.suspended_s, 3),
+            stood_s=round(stall.stood_s, 3),
+            suspended_s=round(stall.suspended_s, 3),
             running=self.edge.running,
             jobs_held=len(self.keeper.held_by_id),
             peers=len(self.mesh.alive()),
         )
         return True
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            self.news.send_heartbeat()
+            self.updates.send_heartbeat()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def _probe(self) -> None:
-        """Find out when targets that could not be reached can be again."""
+    async def _probe_unreachable(self) -> None:
+        """Probe unreachable targets until they accept connections again."""
         while True:
             await asyncio.sleep(PROBE_INTERVAL_S)
             for id, address in list(self.fleet.unreachable.items()):
--- a/src/caperridge/gateway/settings.py
+++ b/src/caperridge/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway instance: one TOML file, checked as a whole."""
+"""The settings of a gateway instance: one TOML file, validated with all findings."""
 
 import tomllib
 from pathlib import Path
@@ -40,22 +40,23 @@
 
 
 class Settings(Record):
-    """What one instance is told about itself and its surroundings.
+    """The settings of one instance.
 
     Attributes:
         instance: id, unique in the system; a restarted instance keeps it.
         availability_zone: where it runs.
         metrics_port: TCP port of the metrics, on all addresses; 0 for none.
         callers: ``IP:PORT`` that callers connect to.
-        ready: ``IP:PORT`` that answers whether the instance takes callers.
+        ready: ``IP:PORT`` of the readiness check.
         peers: ``IP:PORT`` that other instances connect to.
-        seeds: ``IP:PORT`` of peers to begin with; some may be gone.
+        seeds: ``IP:PORT`` of the peers to contact first; some may no longer run.
         store: ``IP:PORT`` of the platform's store.
-        row_bytes: largest value of a row there, encoded.
-        object_bytes: largest object there.
-        jobs_kept_s: from a job's acceptance for how long its results can be read.
-        grace_s: seconds between being told to stop and being killed.
-        log_level: least level that is logged.
+        row_bytes: largest encoded value of a row in the store.
+        object_bytes: largest object in the store.
+        jobs_kept_s: seconds from the acceptance of a job for which its results can be
+            read.
+        grace_s: seconds between the signal to stop and the kill.
+        log_level: lowest level that is logged.
     """
 
     __slots__ = (
@@ -106,10 +107,10 @@
 
 
 def load(path: Path) -> Settings:
-    """Return the settings in ``path``.
+    """Return the settings in the file ``path``.
 
     Raises:
-        FindingsError: it cannot be read, or with everything that is wrong in it.
+        FindingsError: the file cannot be read or is invalid; holds all findings.
     """
     try:
         text = path.read_text()
@@ -121,10 +122,10 @@
 def parse(text: str, source: str) -> Settings:
     """Return the settings in ``text``; ``source`` names it in findings.
 
-    Unknown keys are skipped: another release may have written them.
+    Unknown keys are ignored, because another release may have written them.
 
     Raises:
-        FindingsError: with everything that is wrong.
+        FindingsError: the settings are invalid; holds all findings.
     """
     try:
         table: dict[str, Any] = SCHEMA(tomllib.loads(text))
--- a/src/caperridge/gateway/state.py
+++ b/src/caperridge/gateway/state.py
@@ -1,4 +1,4 @@
-"""What an instance believes, for people."""
+"""The state dump of an instance, for operators."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -7,14 +7,14 @@
 
 
 def state_of(instance: "GatewayInstance") -> dict[str, Any]:
-    """Return what ``instance`` believes of itself, its peers and its targets."""
+    """Return the state of ``instance`` and its view of peers, targets and jobs."""
     table = instance.configuration.table
     return {
         "instance": instance.settings.instance,
         "incarnation": instance.mesh.incarnation,
         "ready": instance.ready,
         "configuration": table.version if table is not None else None,
-        "store_reached": instance.reach.reached,
+        "store_reached": instance.store_reachability.reached,
         "running": instance.edge.running,
         "quarantine": instance.guard.state(),
         "peer_traffic": instance.mesh.traffic.state(),
--- a/src/caperridge/gateway/stopping.py
+++ b/src/caperridge/gateway/stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop: not ready at once, and serving until callers have gone."""
+"""Graceful shutdown: readiness ends at once, serving when callers have moved."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,97 +10,103 @@
 
 log = logger(__name__)
 
-# The balancer asks every second and takes an instance out after two misses.
-LEAVING_S = 2.6
-# Of a short grace period the balancer is taken to need this share.
-MOVED_SHARE = 1 / 3
-# Left for closing connections before the kill, and what this is of a short grace period
-# at most.
-SPARE_S = 0.5
-SPARE_SHARE = 0.1
-# Left for requests that were under way when the door closed. On a day with rolling
-# restarts answers took 0.7 s (p50), 1.2 s (p99) and 1.35 s at most; those of slow
-# targets take several times that, and callers wait for up to 5 s. A request that is
-# turned away at a closed door is served at once by another instance, one that is cut
-# may have run.
-CLOSING_S = 4.0
-# Of a short grace period callers have this share before the door closes.
-OPEN_SHARE = 0.45
-# Before that end, what was taken in the stop is given up, so that its caller is told.
-ANSWER_S = 0.2
-# Of a short grace period. With the spare share less than its last sixth, up to which a
+# The balancer checks readiness every second and removes an instance after two failures.
+BALANCER_REMOVAL_S = 2.6
+# The largest part of a short grace period that is allowed for that.
+BALANCER_REMOVAL_RATIO = 1 / 3
+# Reserved for closing connections before the process is killed, and the largest part
+# of a short grace period for that.
+CLOSE_RESERVE_S = 0.5
+CLOSE_RESERVE_RATIO = 0.1
+# For requests in flight when the listener closes. During rolling restarts answers took
+# 0.7 s (p50), 1.2 s (p99) and 1.35 s at most; those of slow targets take several times
+# that, and callers wait for up to 5 s. A request refused by a closed listener is served
+# at once by another instance, one that is cut off may have run.
+IN_FLIGHT_S = 4.0
+# The listener stays open for at least this part of a short grace period.
+MIN_OPEN_RATIO = 0.45
+# Requests still unanswered this long before the end get an error answer, so that their
+# callers need not wait for a closed connection.
+ERROR_ANSWER_S = 0.2
+# The largest part of a short grace period for that. Together with
+# ``CLOSE_RESERVE_RATIO`` it is less than the last sixth of the period, up to which a
 # caller can expect an answer.
-ANSWER_SHARE = 0.05
+ERROR_ANSWER_RATIO = 0.05
 
 
 class StopTimes(Record):
-    """Moments of a planned stop, on one clock, in their order.
+    """The times of a planned stop, on one clock, in ascending order.
 
     Attributes:
         callers_moved: the balancer sends new callers to other instances by then.
-        door_closes: no connection is taken any more.
-        answers_until: when the last answer must have been given.
-        end: when all connections are to be closed.
+        listener_closes: no connection is accepted from then on.
+        answers_until: when the last answer must be complete.
+        end: when all connections must be closed.
     """
 
-    __slots__ = ("answers_until", "callers_moved", "door_closes", "end")
+    __slots__ = ("answers_until", "callers_moved", "end", "listener_closes")
 
     def __init__(
         self,
         callers_moved: float,
-        door_closes: float,
+        listener_closes: float,
         answers_until: float,
         end: float,
     ) -> None:
         self.callers_moved = callers_moved
-        self.door_closes = door_closes
+        self.listener_closes = listener_closes
         self.answers_until = answers_until
         self.end = end
 
 
-def stop_times(began: float, grace_s: float) -> StopTimes:
-    """Divide a grace period that began at ``began``.
+def stop_times(started_at: float, grace_s: float) -> StopTimes:
+    """Divide a grace period that started at ``started_at``.
 
     >>> times = stop_times(0.0, 8.0)
-    >>> times.callers_moved, times.door_closes, times.answers_until, times.end
+    >>> times.callers_moved, times.listener_closes, times.answers_until, times.end
     (2.6, 3.5, 7.3, 7.5)
     """
-    end = began + grace_s - min(SPARE_S, grace_s * SPARE_SHARE)
+    end = started_at + grace_s - min(CLOSE_RESERVE_S, grace_s * CLOSE_RESERVE_RATIO)
     return StopTimes(
-        callers_moved=began + min(LEAVING_S, grace_s * MOVED_SHARE),
-        door_closes=max(end - CLOSING_S, began + (end - began) * OPEN_SHARE),
-        answers_until=end - min(ANSWER_S, grace_s * ANSWER_SHARE),
+        callers_moved=started_at
+        + min(BALANCER_REMOVAL_S, grace_s * BALANCER_REMOVAL_RATIO),
+        listener_closes=max(
+            end - IN_FLIGHT_S, started_at + (end - started_at) * MIN_OPEN_RATIO
+        ),
+        answers_until=end - min(ERROR_ANSWER_S, grace_s * ERROR_ANSWER_RATIO),
         end=end,
     )
 
 
 class PlannedStop:
-    """Ends the service to callers, stage by stage.
+    """Stops serving callers in stages.
 
     Args:
-        edge: that answers callers.
-        door: their listener.
-        steps: that give away what others go on with, one after another.
+        edge: serves the callers.
+        listener: for callers.
+        steps: hand work over to peers, one after the other.
     """
 
     def __init__(
-        self, edge: Edge, door: Listener, steps: list[Callable[[], Awaitable[None]]]
+        self, edge: Edge, listener: Listener, steps: list[Callable[[], Awaitable[None]]]
     ) -> None:
         self._edge = edge
-        self._door = door
+        self._listener = listener
         self._steps = steps
 
     async def run(self, grace_s: float) -> int:
-        """Stop within ``grace_s``; return how many requests were cut."""
+        """Stop within ``grace_s``; return how many requests were cut off."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        times = stop_times(began, grace_s)
+        started_at = loop.time()
+        times = stop_times(started_at, grace_s)
         self._edge.start_draining(times.answers_until, times.callers_moved)
         handing_over = loop.create_task(self._hand_over_until(times.end))
-        await self._edge.wait_until_quiet(began + LEAVING_S, times.door_closes)
-        self._log_door(times.door_closes)
-        await self._door.stop_accepting()
-        connections = await self._door.drain_connections(times.end)
+        await self._edge.wait_until_quiet(
+            started_at + BALANCER_REMOVAL_S, times.listener_closes
+        )
+        self._log_listener_close(times.listener_closes)
+        await self._listener.stop_accepting()
+        connections = await self._listener.drain_connections(times.end)
         await handing_over
         cut = self._edge.running
         self._edge.log_cut()
@@ -111,23 +117,23 @@
         try:
             async with asyncio.timeout_at(until):
                 for step in self._steps:
-                    await _tried(step)
+                    await _run_step(step)
         except TimeoutError:
-            # Peers take over what they no longer hear this instance hold.
-            log.warning("hand-over not finished", reason="its time is over")
+            # Peers take over jobs when they receive no more reports that it holds them.
+            log.warning("hand-over not finished", reason="the grace period is over")
 
-    def _log_door(self, patience: float) -> None:
-        left_s = patience - asyncio.get_running_loop().time()
+    def _log_listener_close(self, until: float) -> None:
+        remaining_s = until - asyncio.get_running_loop().time()
         log.info(
-            "door closes",
+            "listener closes",
             running=self._edge.running,
-            connections=self._door.connections,
-            patience_left_s=round(left_s, 3),
+            connections=self._listener.connections,
+            patience_left_s=round(remaining_s, 3),
         )
 
 
-async def _tried(step: Callable[[], Awaitable[None]]) -> None:
-    """Do ``step``; what goes wrong with peers or jobs must not cut requests."""
+async def _run_step(step: Callable[[], Awaitable[None]]) -> None:
+    """Run ``step``; its errors must not cut off requests that are being answered."""
     try:
         await step()
     except Exception as error:
--- a/tests/gateway/test_answers_in_a_stop.py
+++ b/tests/gateway/test_answers_in_a_stop.py
@@ -123,7 +123,7 @@
         reached.add(step)
         raise RuntimeError("broken")
 
-    monkeypatch.setattr(instance.news, "send_heartbeat", lambda: fails("told"))
+    monkeypatch.setattr(instance.updates, "send_heartbeat", lambda: fails("told"))
     monkeypatch.setattr(instance.keeper, "hand_over", lambda: fails("jobs"))
     monkeypatch.setattr(instance.registry, "deregister", lambda: fails("left"))
     assert await instance.stop(8.0) == 0
--- a/tests/gateway/test_contacts.py
+++ b/tests/gateway/test_contacts.py
@@ -232,7 +232,7 @@
     near = await world.add_instance(zone="a")
     far = await world.add_instance(zone="b")
     await world.ready()
-    far.news.send_heartbeat = lambda: None
+    far.updates.send_heartbeat = lambda: None
     await asyncio.sleep(HEARTBEAT_INTERVAL_S)
     member = near.mesh.members_by_id[far.settings.instance]
     place = [member.id, member.incarnation, member.address, member.zone]
--- a/tests/gateway/test_looks.py
+++ b/tests/gateway/test_looks.py
@@ -115,4 +115,4 @@
 
 def _tell_online(instance: GatewayInstance, target: str, online: int) -> None:
     """Have the instance hear of online requests that others have at ``target``."""
-    instance.news._counts("others", Counts([[target, online, 0, 0.0]]))
+    instance.updates._counts("others", Counts([[target, online, 0, 0.0]]))
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -82,7 +82,7 @@
     await world.ready()
     telling.fleet.occupancy.add("i-0", online=2)
     telling.fleet.notify_changed()
-    telling.news.send_heartbeat = lambda: None
+    telling.updates.send_heartbeat = lambda: None
     hearing = await world.add_instance(zone="b")
     own = telling.settings.instance
     await until(lambda: hearing.fleet.occupancy.count_of(own, "i-0").online == 2)
@@ -95,7 +95,7 @@
     telling = await world.add_instance(zone="a")
     hearing = await world.add_instance(zone="b")
     await world.ready()
-    telling.news.send_heartbeat = lambda: None
+    telling.updates.send_heartbeat = lambda: None
     telling.fleet.occupancy.add("i-0", online=2)
     telling.fleet.occupancy.take_changed()
     for stream in list(hearing.mesh._streams):
@@ -133,8 +133,8 @@
     far = await world.add_instance(zone="b")
     await world.ready()
     own = leaving.settings.instance
-    leaving.news.leaving = True
-    leaving.news.send_heartbeat()
+    leaving.updates.leaving = True
+    leaving.updates.send_heartbeat()
     await until(lambda: far.mesh.members_by_id[own].leaving, HEARTBEAT_INTERVAL_S)
 
 
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -47,9 +47,9 @@
     """A peer that found a row gone by a whole read dates it by that read."""
     asks = Asks()
     instance.mesh.send = asks.note
-    copy = instance.news.copy_of(TABLE)
+    copy = instance.updates.copy_of(TABLE)
     copy.read_version = copy.version + 10
-    instance.news._heartbeat(PEERS[0], beat(copy.version + 5))
+    instance.updates._heartbeat(PEERS[0], beat(copy.version + 5))
     await asyncio.sleep(PEER_COPY_DELAY_S * 3)
     assert asks == []
 
@@ -59,18 +59,18 @@
 ) -> None:
     asks = Asks()
     instance.mesh.send = asks.note
-    newer = instance.news.copy_of(TABLE).read_version + 100
+    newer = instance.updates.copy_of(TABLE).read_version + 100
     for peer in PEERS:
-        instance.news._heartbeat(peer, beat(newer))
+        instance.updates._heartbeat(peer, beat(newer))
     await until(lambda: asks)
     assert len(asks) == 1
     await asyncio.sleep(REQUEST_RETRY_DELAY_S * 2.5)
     assert 2 <= len(asks) <= 4  # the first did not answer
     rows = [
         ["", row.key.key, row.value, row.version]
-        for row in instance.news.copy_of(TABLE).rows_by_key.values()
+        for row in instance.updates.copy_of(TABLE).rows_by_key.values()
     ]
-    instance.news._table_whole(asks[-1], TableWhole(TABLE, newer, rows))
+    instance.updates._table_whole(asks[-1], TableWhole(TABLE, newer, rows))
     asked = len(asks)
     await asyncio.sleep(REQUEST_RETRY_DELAY_S * 2.5)
     assert len(asks) == asked
@@ -81,11 +81,11 @@
 ) -> None:
     asks = Asks()
     instance.mesh.send = asks.note
-    newer = instance.news.copy_of(TABLE).read_version + 100
-    instance.news._heartbeat(PEERS[0], beat(newer))
+    newer = instance.updates.copy_of(TABLE).read_version + 100
+    instance.updates._heartbeat(PEERS[0], beat(newer))
     await until(lambda: asks)
-    instance.news._heartbeat(PEERS[1], beat(newer + 1))
-    instance.news._table_whole(PEERS[0], TableWhole(TABLE, newer, []))
+    instance.updates._heartbeat(PEERS[1], beat(newer + 1))
+    instance.updates._table_whole(PEERS[0], TableWhole(TABLE, newer, []))
     assert asks == [PEERS[0], PEERS[1]]
 
 
@@ -97,7 +97,7 @@
     clock = LoopClock(still=True)
     index = instance.index.copy
     newer = Heartbeat([], {index.table: index.read_version + 100})
-    instance.news._heartbeat(PEERS[0], newer)
+    instance.updates._heartbeat(PEERS[0], newer)
     await clock.ahead(INDEX_READ_INTERVAL_S)
     assert asks == []
     await clock.ahead_until(lambda: bool(asks))
@@ -108,18 +108,18 @@
 ) -> None:
     asks = Asks()
     instance.mesh.send = asks.note
-    instance.reach.record_failure("it is away")
+    instance.store_reachability.record_failure("it is away")
     index = instance.index.copy
     newer = Heartbeat([], {index.table: index.read_version + 100})
-    instance.news._heartbeat(PEERS[0], newer)
+    instance.updates._heartbeat(PEERS[0], newer)
     await until(lambda: asks, INDEX_READ_INTERVAL_S)
 
 
 async def test_what_a_peer_counts_is_not_told_on(instance: GatewayInstance) -> None:
     """Not even a turn of the loop is spent on it."""
     flushed: list[None] = []
-    instance.news._flush = lambda: flushed.append(None)
-    instance.news._counts(PEERS[0], Counts([["i-0", 1, 0, 0.0]]))
+    instance.updates._flush = lambda: flushed.append(None)
+    instance.updates._counts(PEERS[0], Counts([["i-0", 1, 0, 0.0]]))
     await asyncio.sleep(0)
     assert instance.fleet.occupancy.total_at("i-0").online == 1
     assert flushed == []
@@ -137,10 +137,10 @@
     sent: list[object] = []
     monkeypatch.setattr(instance.mesh, "send_all", sent.append)
     monkeypatch.setattr(instance.mesh, "send_near", sent.append)
-    instance.news._told_state = ()
-    instance.news.send_heartbeat()
+    instance.updates._told_state = ()
+    instance.updates.send_heartbeat()
     monkeypatch.setattr(type(instance.mesh), "large", True)
-    instance.news._told_state = ()
-    instance.news.send_heartbeat()
+    instance.updates._told_state = ()
+    instance.updates.send_heartbeat()
     assert [bool(beat.lengths) for beat in sent] == [True, False]
-    assert instance.news._first_word().lengths
+    assert instance.updates._first_word().lengths
--- a/tests/gateway/test_requests_that_end_targets.py
+++ b/tests/gateway/test_requests_that_end_targets.py
@@ -481,7 +481,7 @@
     """Nothing can be heard of its address; its entry lapses some seconds later."""
     for number in range(ENOUGH):
         instance = fleet.instances[number]
-        instance._target_ends.is_refused = _never
+        instance._crash_detector.is_refused = _never
         answer = await fleet.ask(instance, "/once/1", f"f{number}", FATAL)
         assert answer.status == 502
         await until(lambda one=instance: not one.guard.checking_crashes)
@@ -540,7 +540,9 @@
     """Nobody can take the right to try again then, and the store learns of it later."""
     await repeat(fleet, "/once/1", count=2)
     fleet.store.refuse = 503
-    await until(lambda: not any(one.reach.reached for one in fleet.instances))
+    await until(
+        lambda: not any(one.store_reachability.reached for one in fleet.instances)
+    )
     await fleet.ask(fleet.instances[2], "/once/1", "f2", FATAL)
     await all_know(fleet)
     ahead.append(PAUSES_S[0])
@@ -562,7 +564,9 @@
     fleet: World,
 ) -> None:
     fleet.store.refuse = 503
-    await until(lambda: not any(one.reach.reached for one in fleet.instances))
+    await until(
+        lambda: not any(one.store_reachability.reached for one in fleet.instances)
+    )
     for number, instance in enumerate(fleet.instances):
         await fleet.ask(instance, "/once/1", f"f{number}", FATAL)
         await all_know(fleet)
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -29,8 +29,8 @@
     # Guards against streams cut in a short grace period while there was time left.
     began = 100.0
     times = stop_times(began, grace_s)
-    assert began < times.callers_moved <= times.door_closes
-    assert times.door_closes < times.answers_until < times.end < began + grace_s
+    assert began < times.callers_moved <= times.listener_closes
+    assert times.listener_closes < times.answers_until < times.end < began + grace_s
     assert times.answers_until > began + grace_s * 5 / 6
 
 
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -32,7 +32,7 @@
 
 
 def _watcher(instance: GatewayInstance, table: str) -> watching.TableWatcher:
-    return instance.news._watchers_by_table[table]
+    return instance.updates._watchers_by_table[table]
 
 
 def _readers(instances: list[GatewayInstance], table: str) -> list[GatewayInstance]:
@@ -52,7 +52,7 @@
     world: World, many_peers: None
 ) -> None:
     instances = await _zone(world)
-    for table in instances[0].news._watchers_by_table:
+    for table in instances[0].updates._watchers_by_table:
         assert len(_readers(instances, table)) == READERS_PER_ZONE
 
 
@@ -339,10 +339,10 @@
     peer = await world.add_instance(zone=zone)
     await world.ready()
     id = peer.settings.instance
-    peer.news.send_heartbeat = lambda: None
+    peer.updates.send_heartbeat = lambda: None
     await asyncio.sleep(HEARTBEAT_INTERVAL_S)
-    instance.news._heartbeat(id, Heartbeat([], {}, store_reached=True))
+    instance.updates._heartbeat(id, Heartbeat([], {}, store_reached=True))
     looked: list[None] = []
-    instance.reach.recheck = lambda: looked.append(None)
-    instance.news._heartbeat(id, Heartbeat([], {}, store_reached=False))
+    instance.store_reachability.recheck = lambda: looked.append(None)
+    instance.updates._heartbeat(id, Heartbeat([], {}, store_reached=False))
     assert len(looked) == rechecks
