--- a/src/caperridge/gateway/fleet.py
+++ b/src/caperridge/gateway/fleet.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from caperridge.decisions.ejection import Health
-from caperridge.decisions.run_lengths import RunLengths
+from caperridge.decisions.run_lengths import RunStatistics
 from caperridge.gateway.occupancy import Occupancy
 from caperridge.gateway.targets import Target, TargetList
 from caperridge.log import logger
@@ -60,7 +60,7 @@
         self.targets_known = False
         self.remote_counts_stale = False
         self.unreachable: dict[str, str] = {}
-        self.run_lengths_by_service: dict[str, RunLengths] = {}
+        self.run_lengths_by_service: dict[str, RunStatistics] = {}
         self._health_by_target: dict[str, Health] = {}
         self._failed_at_by_target: dict[str, float] = {}
         self._refusing_until_by_target: dict[str, float] = {}
@@ -68,11 +68,11 @@
         self.silent_zones: Callable[[float], frozenset[str]] = lambda now: frozenset()
         self._change_callbacks: list[Callable[[], None]] = []
 
-    def run_lengths(self, service: str) -> RunLengths:
+    def run_lengths(self, service: str) -> RunStatistics:
         """Return the run lengths observed for ``service``."""
         lengths = self.run_lengths_by_service.get(service)
         if lengths is None:
-            lengths = self.run_lengths_by_service[service] = RunLengths()
+            lengths = self.run_lengths_by_service[service] = RunStatistics()
         return lengths
 
     def on_change(self, call: Callable[[], None]) -> None:
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -283,7 +283,7 @@
             return error
         self._guard.record_good_run(self._fingerprint(request, state))
         lengths = self._fleet.run_lengths(target.service)
-        lengths.answered(events, took_s, queued=not immediate)
+        lengths.record_answer(events, took_s, queued=not immediate)
         return None
 
     async def _attempt_unless_quarantined(
--- a/src/caperridge/gateway/mesh/relay.py
+++ b/src/caperridge/gateway/mesh/relay.py
@@ -1,8 +1,8 @@
-"""Messages to and from other availability zones, by way of contacts.
+"""Relaying of messages between availability zones through contacts.
 
-An instance sends to its contacts only; each passes on to the peers of its own zone what
-is for them. Signs of life are gathered and passed on with the contact's own beat, all
-else at once. A message is passed on once, so it cannot go in circles.
+An instance sends only to its contacts; each relays to the peers of its own zone what is
+meant for them. Heartbeats are collected and relayed with the contact's own, all other
+messages at once. A message is relayed once, so it cannot loop.
 """
 
 import asyncio
@@ -27,16 +27,16 @@
 
 log = logger(__name__)
 
-# A process that stands still goes on accepting bytes, so only its silence shows.
-CONTACT_FRESH_S = 1.5
-# One of the peers that report a loss elsewhere may be lost itself.
+# A stalled process still accepts bytes, so only its silence shows the stall.
+CONTACT_FRESHNESS_S = 1.5
+# One of the peers that report a loss to other zones may be lost itself.
 LOSS_REPORTERS = 2
-# Contacts may still relay heartbeats of a life whose end was reported.
+# Contacts may still relay heartbeats of an incarnation whose loss was reported.
 STALE_HEARTBEAT_S = 1.0
 
 
 class RelayedMesh(Protocol):
-    """What of the mesh is used here."""
+    """The part of the mesh that the relay uses."""
 
     instance: str
     roster: Roster
@@ -75,55 +75,55 @@
 
 
 class ZoneRelay:
-    """One instance's part in what goes between availability zones.
+    """Relays between this instance's availability zone and the others.
 
     Args:
-        mesh: hears and sends.
-        dialers: keep streams to contacts.
+        mesh: sends and receives.
+        dialers: maintain the streams to contacts.
     """
 
     def __init__(self, mesh: RelayedMesh, dialers: Dialers) -> None:
         self._mesh = mesh
         self._roster = mesh.roster
         self._dialers = dialers
-        self._turn = 0
+        self._rotation = 0
         self._heartbeats_by_instance: dict[str, list] = {}
         self._pending: list[list] = []
         self._last_heartbeat_by_instance: dict[str, list] = {}
 
     def register(self) -> None:
-        """Have the mesh hand over what is to be passed on."""
+        """Register the handlers of relayed messages with the mesh."""
         self._mesh.register(Relay, self._relay_requested)
-        self._mesh.register(Relayed, self._relayed)
-        self._mesh.register(RelayedHeartbeats, self._relayed_heartbeats)
+        self._mesh.register(Relayed, self._receive_relayed)
+        self._mesh.register(RelayedHeartbeats, self._receive_heartbeats)
         self._mesh.register(MemberLost, self._member_lost)
         self._mesh.on_messages_received(self._flush)
-        self._mesh.on_lost(self._forget_heartbeat)
+        self._mesh.on_lost(self._discard_last_heartbeat)
 
-    # What this instance says elsewhere.
+    # From this instance to other zones.
 
     def contacts(self, all_contacts: bool) -> list[Member]:
-        """Return one connected contact of each zone, another in turn, or all."""
-        self._turn += 1
+        """Return one connected contact per zone in rotation, or all of them."""
+        self._rotation += 1
         chosen: list[Member] = []
         for zone in self._dialers.contacts_by_zone:
             connected = self._connected_contacts(zone)
             if all_contacts or not connected:
                 chosen += connected
                 continue
-            chosen.append(connected[self._turn % len(connected)])
+            chosen.append(connected[self._rotation % len(connected)])
         return chosen
 
     def send(self, member: Member, message: Record) -> bool:
-        """Have ``message`` passed on to one instance; False if there is no way."""
+        """Relay ``message`` to one instance; False if no contact is connected."""
         return self._send(member.zone, member.id, message)
 
     def send_zone(self, zone: str, message: Record) -> None:
-        """Have ``message`` passed on to all instances of another zone."""
+        """Relay ``message`` to all instances of another zone."""
         self._send(zone, "", message)
 
     def send_everywhere(self, message: Record) -> None:
-        """Have ``message`` passed on in all other zones, by each contact."""
+        """Relay ``message`` to all other zones, through every contact."""
         contacts = self.contacts(all_contacts=True)
         if not contacts:
             return
@@ -132,9 +132,9 @@
             self._mesh.send(contact.id, relay)
 
     def report_lost(self, member: Member) -> None:
-        """Say elsewhere that a near peer is lost, if that falls to this instance."""
+        """Report a lost near peer to other zones if this instance is a reporter."""
         if not self._roster.large:
-            return  # nobody is far
+            return  # no peer is far
         near = [one for one in self._roster.near() if one.lost_at is None]
         own = score(member.id, self._mesh.instance)
         ahead = sum(1 for one in near if score(member.id, one.id) > own)
@@ -148,9 +148,9 @@
         return self._mesh.send(contact.id, Relay(to, encode_body(message)))
 
     def _best_contact(self, zone: str) -> Member | None:
-        """Return the contact of a zone that is asked; None if none is connected."""
+        """Return the contact of a zone to send to; None if none is connected."""
         connected = self._connected_contacts(zone)
-        since = asyncio.get_running_loop().time() - CONTACT_FRESH_S
+        since = asyncio.get_running_loop().time() - CONTACT_FRESHNESS_S
         for contact in connected:
             if contact.last_received_at >= since:
                 return contact
@@ -163,13 +163,13 @@
             if self._dialers.stream_to(contact) is not None
         ]
 
-    # What this instance passes on in its zone.
+    # From other zones to the peers of this one.
 
-    def heard(self, member: Member, message: Record) -> None:
-        """Gather what a far instance said of itself, to be passed on."""
+    def message_received(self, member: Member, message: Record) -> None:
+        """Collect the heartbeat of a far instance, to be relayed."""
         if self._roster.is_near(member):
             return
-        self._forget_heartbeat(member)
+        self._discard_last_heartbeat(member)
         if not isinstance(message, Heartbeat):
             return
         before = self._heartbeats_by_instance.get(member.id)
@@ -186,17 +186,17 @@
             self.relay_heartbeats()
 
     def relay_heartbeats(self) -> None:
-        """Tell near peers what was gathered."""
+        """Send near peers the heartbeats that were collected."""
         if not self._heartbeats_by_instance:
             return
         heartbeats = list(self._heartbeats_by_instance.values())
         self._heartbeats_by_instance.clear()
         self._mesh.send_near(RelayedHeartbeats(heartbeats))
 
-    def _relay_requested(self, speaker: str, relay: Relay) -> None:
-        """Pass on what a far instance sent by way of this one."""
-        member = self._roster.members_by_id[speaker]
-        entry = [speaker, member.incarnation, relay.body]
+    def _relay_requested(self, sender: str, relay: Relay) -> None:
+        """Relay what a far instance sent through this one."""
+        member = self._roster.members_by_id[sender]
+        entry = [sender, member.incarnation, relay.body]
         if relay.to and relay.to != self._mesh.instance:
             self._mesh.send(relay.to, Relayed([entry]))
             return
@@ -205,65 +205,65 @@
             self._pending.append(entry)
 
     def _flush(self) -> None:
-        """Pass on what was heard in one turn, in one message."""
+        """Relay what was received together in one message."""
         if not self._pending:
             return
         gathered, self._pending = self._pending, []
         self._mesh.send_near(Relayed(gathered))
 
-    # What others pass on.
+    # What contacts relay to this instance.
 
-    def _relayed(self, contact: str, relayed: Relayed) -> None:
+    def _receive_relayed(self, contact: str, relayed: Relayed) -> None:
         for entry in relayed.messages:
             self._deliver(entry)
 
     def _deliver(self, entry: list) -> None:
-        """Have a message of a far instance handled as if it had come from it."""
+        """Handle a far instance's message as if it had been received directly."""
         instance, incarnation, body = entry
         member = self._roster.members_by_id.get(instance)
         if member is None or member.incarnation != incarnation:
-            return  # of a life that is over, or of which nothing was heard yet
+            return  # of an earlier incarnation, or of one that is not known yet
         try:
             message = decode(body)
         except MessageError as error:
             log.error("relayed message skipped", peer=instance, reason=str(error))
             return
         if message is not None:
-            self._forget_heartbeat(member)
+            self._discard_last_heartbeat(member)
             self._mesh.dispatch(member, message)
 
-    def _relayed_heartbeats(self, contact: str, relayed: RelayedHeartbeats) -> None:
+    def _receive_heartbeats(self, contact: str, relayed: RelayedHeartbeats) -> None:
         now = asyncio.get_running_loop().time()
         for heartbeat in relayed.heartbeats:
             instance = heartbeat[0]
             member = self._roster.members_by_id.get(instance)
             if member is not None and self._is_unchanged(member, heartbeat):
-                # Most do, and there are some hundred a second.
+                # True of most, and some hundred arrive each second.
                 member.last_received_at = member.listed_at = now
                 continue
             incarnation, address, zone, leaving, reached, counts, *_ = heartbeat[1:]
-            member = self._note_alive(instance, incarnation, address, zone)
+            member = self._record_alive(instance, incarnation, address, zone)
             if member is None:
                 continue
             self._last_heartbeat_by_instance[instance] = heartbeat
             self._mesh.dispatch(member, Heartbeat(counts, {}, leaving, reached))
 
     def _is_unchanged(self, member: Member, heartbeat: list) -> bool:
-        """Whether a far member that is heard says what it said before."""
+        """Whether a far member is alive and its heartbeat repeats the last one."""
         return (
             member.lost_at is None
             and member.incarnation == heartbeat[1]
             and self._last_heartbeat_by_instance.get(member.id) == heartbeat
         )
 
-    def _forget_heartbeat(self, member: Member) -> None:
-        """Have the next sign of life of a member handled whole."""
+    def _discard_last_heartbeat(self, member: Member) -> None:
+        """Have the next heartbeat of a member handled in full."""
         self._last_heartbeat_by_instance.pop(member.id, None)
 
-    def _note_alive(
+    def _record_alive(
         self, instance: str, incarnation: str, address: str, zone: str
     ) -> Member | None:
-        """Note a sign of life; return whose it is, or None if it says nothing."""
+        """Record a heartbeat; return its member, or None if it is to be ignored."""
         if instance == self._mesh.instance:
             return None
         self._mesh.learn(instance, address, zone)
@@ -271,18 +271,18 @@
         if self._roster.is_near(member) or incarnation == member.previous_incarnation:
             return None
         now = asyncio.get_running_loop().time()
-        belated = now - member.reported_lost_at < STALE_HEARTBEAT_S
-        if belated and incarnation == member.incarnation:
+        stale = now - member.reported_lost_at < STALE_HEARTBEAT_S
+        if stale and incarnation == member.incarnation:
             return None
         self._mesh.set_incarnation(member, incarnation, address, zone)
         self._mesh.mark_alive(member)
         return member
 
-    def _member_lost(self, speaker: str, news: MemberLost) -> None:
-        member = self._roster.members_by_id.get(news.instance)
+    def _member_lost(self, sender: str, report: MemberLost) -> None:
+        member = self._roster.members_by_id.get(report.instance)
         if member is None or self._roster.is_near(member):
             return
-        if member.incarnation != news.incarnation or member.lost_at is not None:
+        if member.incarnation != report.incarnation or member.lost_at is not None:
             return
         member.reported_lost_at = asyncio.get_running_loop().time()
         self._mesh.mark_lost(member, "its zone lost it")
