--- a/src/caperridge/gateway/answer_relay.py
+++ b/src/caperridge/gateway/answer_relay.py
@@ -5,7 +5,7 @@
 
 from caperridge.gateway.dialect import end_to_end_headers
 from caperridge.gateway.events import Event
-from caperridge.gateway.inbound import ForwardingState, InboundRequest, Reply
+from caperridge.gateway.inbound import InboundRequest, Reply, RequestState
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.upstream import Answer, BrokenAnswerError, SilentAnswerError
 from caperridge.targets.outcomes import (
@@ -37,7 +37,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        state: ForwardingState,
+        state: RequestState,
         answer: Answer,
     ) -> AttemptError | None:
         """Relay ``answer``; return None if it was relayed completely."""
@@ -52,7 +52,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        state: ForwardingState,
+        state: RequestState,
         answer: Answer,
     ) -> AttemptError | None:
         chunks: list[bytes] = []
@@ -79,7 +79,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        state: ForwardingState,
+        state: RequestState,
         answer: Answer,
     ) -> AttemptError | None:
         first_s, next_s = math.inf, math.inf
@@ -119,7 +119,7 @@
         await reply.write(data)
 
 
-def _events_in_order(events: list[Event], state: ForwardingState) -> tuple[bytes, bool]:
+def _events_in_order(events: list[Event], state: RequestState) -> tuple[bytes, bool]:
     """Return the events in sequence, joined, and whether one was out of sequence.
 
     Events without a number are relayed unchecked.
--- a/src/caperridge/gateway/edge.py
+++ b/src/caperridge/gateway/edge.py
@@ -14,7 +14,7 @@
 from caperridge.gateway.configuration import ConfigurationInForce
 from caperridge.gateway.dialect import DecodeError, Dialect
 from caperridge.gateway.forwarding import Forwarder
-from caperridge.gateway.inbound import ForwardingFailure, InboundRequest
+from caperridge.gateway.inbound import Failure, InboundRequest
 from caperridge.gateway.jobs.edge import JobAnswer, JobsEdge
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.reply import AiohttpReply
@@ -260,7 +260,7 @@
         waits = self._waits_by_route.setdefault(route.name, CallerWaits())
         return waits.waited_s(int(deadline_ms))
 
-    def _fail(self, request: web.Request, failure: ForwardingFailure) -> web.Response:
+    def _fail(self, request: web.Request, failure: Failure) -> web.Response:
         if failure.not_run:
             return self._refuse(request, 503, failure.reason, failure.retry_after_s)
         status = 504 if failure.timed_out else 502
@@ -352,7 +352,7 @@
         return response
 
 
-def _outcome(failure: ForwardingFailure) -> str:
+def _outcome(failure: Failure) -> str:
     if failure.timed_out:
         return "timed_out"
     return "refused" if failure.not_run else "failed"
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -23,10 +23,10 @@
 from caperridge.gateway.fingerprint import Fingerprint, fingerprint_of
 from caperridge.gateway.fleet import Fleet
 from caperridge.gateway.inbound import (
-    ForwardingFailure,
-    ForwardingState,
+    Failure,
     InboundRequest,
     Reply,
+    RequestState,
 )
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.placement import place_online, place_online_zone_first
@@ -58,14 +58,6 @@
 
     Attributes:
         on_placed: called with the id of the target that a request is sent to.
-
-    Args:
-        fleet: the targets.
-        client: sends attempts.
-        dialect: names of headers.
-        metrics: counted into.
-        limits: deadlines of answers.
-        guard: refuses quarantined requests.
     """
 
     def __init__(
@@ -91,29 +83,25 @@
             {names.deadline.lower(), names.incarnation.lower(), names.resume.lower()}
         )
 
-    async def forward(
-        self, request: InboundRequest, reply: Reply
-    ) -> ForwardingFailure | None:
+    async def forward(self, request: InboundRequest, reply: Reply) -> Failure | None:
         """Answer ``request`` through ``reply``; return the failure if there was one.
 
         After a failure nothing has been sent to the caller unless ``reply.started``.
         """
-        state = ForwardingState(request.resume_after)
+        state = RequestState(request.resume_after)
         try:
             async with self._limits.within(request.deadline):
                 return await self._forward(request, reply, state)
         except TimeoutError:
             reason = "its time is over"
-            return ForwardingFailure(
-                reason, not state.sent_at_least_once, timed_out=True
-            )
+            return Failure(reason, not state.sent_at_least_once, timed_out=True)
 
     async def _forward(
-        self, request: InboundRequest, reply: Reply, state: ForwardingState
-    ) -> ForwardingFailure | None:
+        self, request: InboundRequest, reply: Reply, state: RequestState
+    ) -> Failure | None:
         while True:
             target = self._place(request, state)
-            if isinstance(target, ForwardingFailure):
+            if isinstance(target, Failure):
                 return target
             refusal = await self._check_quarantine(request, state)
             if refusal is not None:
@@ -127,8 +115,8 @@
                 return failure
 
     async def _check_quarantine(
-        self, request: InboundRequest, state: ForwardingState
-    ) -> ForwardingFailure | None:
+        self, request: InboundRequest, state: RequestState
+    ) -> Failure | None:
         """Return the failure of a request that is in quarantine; else None.
 
         The guard is asked once for each run: an attempt that a target refused without
@@ -147,11 +135,9 @@
         if refusal is None:
             return None
         not_run = not state.sent_at_least_once
-        return ForwardingFailure(refusal.reason, not_run, refusal.retry_after_s)
+        return Failure(refusal.reason, not_run, refusal.retry_after_s)
 
-    def _fingerprint(
-        self, request: InboundRequest, state: ForwardingState
-    ) -> Fingerprint:
+    def _fingerprint(self, request: InboundRequest, state: RequestState) -> Fingerprint:
         if state.fingerprint is None:
             state.fingerprint = fingerprint_of(
                 request.method,
@@ -163,9 +149,7 @@
             )
         return state.fingerprint
 
-    def _place(
-        self, request: InboundRequest, state: ForwardingState
-    ) -> Target | ForwardingFailure:
+    def _place(self, request: InboundRequest, state: RequestState) -> Target | Failure:
         now = asyncio.get_running_loop().time()
         service = request.route.service_for(request.id)
         refused = frozenset(state.tried_targets)
@@ -173,16 +157,14 @@
         targets = targets or self._fleet.usable(service, now)
         not_run = not state.sent_at_least_once
         if not targets:
-            return ForwardingFailure(
-                "no target of its service", not_run, NO_TARGET_RETRY_AFTER_S
-            )
+            return Failure("no target of its service", not_run, NO_TARGET_RETRY_AFTER_S)
         if state.offers >= MAX_OFFERS:
             retry_after_s = self._retry_delay_s(request, now)
-            return ForwardingFailure("too many refusals", not_run, retry_after_s)
+            return Failure("too many refusals", not_run, retry_after_s)
         online_s = self._fleet.run_lengths(service).online_s
         if not_run and self._would_be_cut(service, now):
             # Another instance can send the complete answer.
-            return ForwardingFailure(
+            return Failure(
                 "its answer would be cut by the stop", not_run, IMMEDIATE_RETRY_AFTER_S
             )
         remaining_s = request.objective - now
@@ -213,7 +195,7 @@
             objective_in_s=round(remaining_s, 3),
             retry_after_s=round(retry_after_s, 2),
         )
-        return ForwardingFailure("no slot in time", not_run, retry_after_s)
+        return Failure("no slot in time", not_run, retry_after_s)
 
     def _would_be_cut(self, service: str, now: float) -> bool:
         """Whether a planned stop would cut off an answer that starts now."""
@@ -231,7 +213,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        state: ForwardingState,
+        state: RequestState,
         target: Target,
     ) -> AttemptError | None:
         """Send the request to ``target``; None if its answer was relayed completely."""
@@ -290,7 +272,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        state: ForwardingState,
+        state: RequestState,
         target: Target,
     ) -> AttemptError | None:
         """Have ``target`` run the request; cancel it when it gets quarantined."""
@@ -310,7 +292,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        state: ForwardingState,
+        state: RequestState,
         target: Target,
     ) -> AttemptError | None:
         """Have ``target`` run the request and relay its answer."""
@@ -332,7 +314,7 @@
             answer.close()
 
     def _outbound(
-        self, request: InboundRequest, state: ForwardingState, target: Target
+        self, request: InboundRequest, state: RequestState, target: Target
     ) -> Outbound:
         names = self._dialect.headers
         headers = end_to_end_headers(request.headers, self._own_headers)
@@ -347,7 +329,7 @@
         self,
         request: InboundRequest,
         target: Target,
-        state: ForwardingState,
+        state: RequestState,
         error: AttemptError,
     ) -> None:
         now = asyncio.get_running_loop().time()
@@ -380,18 +362,16 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        state: ForwardingState,
+        state: RequestState,
         error: AttemptError,
-    ) -> ForwardingFailure | None:
+    ) -> Failure | None:
         """Return the failure of the request; None to try another target."""
         if _certainly_not_run(error):
             return None
         if not request.route.idempotent:
-            return ForwardingFailure(
-                f"lost at its target: {error.reason}", not_run=False
-            )
+            return Failure(f"lost at its target: {error.reason}", not_run=False)
         if not state.may_retry(request.route):
-            return ForwardingFailure(f"out of attempts: {error.reason}", not_run=False)
+            return Failure(f"out of attempts: {error.reason}", not_run=False)
         return None
 
 
@@ -402,7 +382,7 @@
 
 
 def _count_unanswered(
-    state: ForwardingState, error: AttemptError, sent_before: bool
+    state: RequestState, error: AttemptError, sent_before: bool
 ) -> None:
     """Count an attempt that ended before the head of an answer."""
     if _certainly_not_run(error):
--- a/src/caperridge/gateway/inbound.py
+++ b/src/caperridge/gateway/inbound.py
@@ -68,7 +68,7 @@
         self.resume_after = resume_after
 
 
-class ForwardingFailure(Record):
+class Failure(Record):
     """Why a request gets no answer from a target.
 
     Attributes:
@@ -120,7 +120,7 @@
         """Mark a streamed answer as complete."""
 
 
-class ForwardingState:
+class RequestState:
     """The progress of one request.
 
     Attributes:
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -83,26 +83,6 @@
 class GatewayInstance:
     """One gateway instance with all its parts.
 
-    Attributes:
-        settings: of the instance.
-        metrics: its registry of metrics.
-        configuration: in force.
-        fleet: the targets.
-        clock: of the store.
-        store_reachability: whether the store answers.
-        index: of jobs.
-        mesh: connections to peers.
-        client: sends requests to targets.
-        guard: quarantine of requests.
-        granting: of slots for items.
-        keeper: runs the jobs held here.
-        recalls: of granted slots.
-        orphan_scan: finds runs that no live instance owns.
-        edge: serves callers.
-        updates: exchanged with peers.
-        registry: of instances, in the store.
-        sweeper: deletes old jobs.
-
     Args:
         settings: of the instance.
         dialect: of the wire.
@@ -118,7 +98,7 @@
         self.configuration = ConfigurationInForce()
         self.fleet = Fleet(settings.instance, settings.availability_zone, rng)
         self.clock = StoreClock()
-        self.store_reachability = StoreReachability()
+        self.reachability = StoreReachability()
         self.index = JobIndex()
         self.mesh = Mesh(
             settings.instance,
@@ -129,20 +109,18 @@
             rng,
         )
         self.metrics.registry.register(self.mesh.traffic)
-        relayed = RelayedStore(store, self.mesh, self.store_reachability, rng)
+        relayed = RelayedStore(store, self.mesh, self.reachability, rng)
         store = ObservedStore(relayed, self.clock, self.metrics)
         self._store = store
         hedging = HedgingStore(store)
         self.client = TargetClient(dialect)
         quarantine = Quarantine()
-        quarantine_table = QuarantineTable(
-            hedging, self.clock, self.store_reachability, quarantine
-        )
+        rows = QuarantineTable(hedging, self.clock, self.reachability, quarantine)
         self._crash_detector = CrashDetector(self.fleet)
         self.guard = RequestGuard(
             quarantine,
             self._crash_detector,
-            quarantine_table,
+            rows,
             self.mesh,
             self.fleet,
             self.metrics,
@@ -164,7 +142,7 @@
             self.index,
             self.configuration,
             self.mesh,
-            self.store_reachability,
+            self.reachability,
             JobWriter(hedging, incarnation, settings.row_bytes),
             JobClaimer(store, self.mesh),
             slots,
@@ -197,7 +175,7 @@
         )
         self._watchers = self._make_watchers(dialect, rng)
         self.updates = PeerUpdates(
-            self.mesh, self.fleet, self._watchers, self.store_reachability
+            self.mesh, self.fleet, self._watchers, self.reachability
         )
         self.registry = InstanceRegistry(store, self.mesh)
         self.sweeper = JobSweeper(
@@ -211,16 +189,14 @@
     def _make_watchers(
         self, dialect: Dialect, rng: random.Random
     ) -> list[TableWatcher]:
-        readers = TableReaders(self.mesh, self.store_reachability)
+        readers = TableReaders(self.mesh, self.reachability)
 
-        def watcher(
-            copy: TableCopy, on_changed: Changed, interval_s: float
-        ) -> TableWatcher:
+        def watcher(copy: TableCopy, apply: Changed, interval_s: float) -> TableWatcher:
             return TableWatcher(
                 self._store,
                 copy,
-                self.store_reachability,
-                on_changed,
+                self.reachability,
+                apply,
                 interval_s,
                 readers.reads,
                 rng,
@@ -233,12 +209,10 @@
             watcher(configuration, self._rows.apply_configuration, 0.0),
             watcher(targets, self._rows.apply_targets, 0.0),
             watcher(self.index.copy, self._rows.apply_index, INDEX_READ_INTERVAL_S),
-            watcher(
-                quarantined, self._apply_quarantine_rows, QUARANTINE_READ_INTERVAL_S
-            ),
+            watcher(quarantined, self._apply_quarantine, QUARANTINE_READ_INTERVAL_S),
         ]
 
-    def _apply_quarantine_rows(self, rows: list[StoredRow], source: str) -> None:
+    def _apply_quarantine(self, rows: list[StoredRow], source: str) -> None:
         self.guard.apply_rows(rows, source)
         self._rows.on_applied(self.guard.rows.copy.table)
 
@@ -251,7 +225,7 @@
         self.updates.on_item_started = self.granting.slot_used
         self.updates.on_count_received = self._on_peer_count
         self._forwarder.on_placed = self.keeper.check_slots
-        self.store_reachability.on_recovered(self.fleet.targets.store_returned)
+        self.reachability.on_recovered(self.fleet.targets.store_returned)
         self.fleet.on_change(self.keeper.fleet_changed)
         self.fleet.on_change(self.updates.counts_changed)
         self.configuration.on_change(self.keeper.schedule_check)
@@ -321,24 +295,13 @@
         )
 
     async def stop(self, grace_s: float) -> int:
-        """Drain and stop.
-
-        Args:
-            grace_s: grace period, in seconds.
-
-        Returns:
-            How many requests were cut off by the end of the grace period.
-        """
+        """Drain and stop within ``grace_s``; return how many requests were cut off."""
         log.info("instance stops", running=self.edge.running)
         self.updates.leaving = True
-        steps = [
-            self._announce_leaving,
-            self.keeper.hand_over,
-            self.registry.deregister,
-        ]
+        steps = [self._notify_peers, self.keeper.hand_over, self.registry.deregister]
         return await PlannedStop(self.edge, self._caller_listener, steps).run(grace_s)
 
-    async def _announce_leaving(self) -> None:
+    async def _notify_peers(self) -> None:
         self.updates.send_heartbeat()
 
     def reload(self, settings: Settings) -> None:
--- a/src/caperridge/gateway/state.py
+++ b/src/caperridge/gateway/state.py
@@ -14,7 +14,7 @@
         "incarnation": instance.mesh.incarnation,
         "ready": instance.ready,
         "configuration": table.version if table is not None else None,
-        "store_reached": instance.store_reachability.reached,
+        "store_reached": instance.reachability.reached,
         "running": instance.edge.running,
         "quarantine": instance.guard.state(),
         "peer_traffic": instance.mesh.traffic.state(),
--- a/src/caperridge/gateway/waiting_runs.py
+++ b/src/caperridge/gateway/waiting_runs.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator
 
 from caperridge.gateway.fingerprint import Fingerprint
-from caperridge.gateway.inbound import ForwardingState
+from caperridge.gateway.inbound import RequestState
 from caperridge.gateway.request_guard import RequestGuard
 from caperridge.log import logger
 from caperridge.records import Record
@@ -34,7 +34,7 @@
         self,
         request: str,
         fingerprint: Fingerprint,
-        state: ForwardingState,
+        state: RequestState,
         limit: asyncio.Timeout,
     ) -> None:
         self.request = request
@@ -58,7 +58,7 @@
 
     @contextlib.asynccontextmanager
     async def within(
-        self, request: str, fingerprint: Fingerprint, state: ForwardingState
+        self, request: str, fingerprint: Fingerprint, state: RequestState
     ) -> AsyncIterator[asyncio.Timeout]:
         """End the block with :class:`TimeoutError` if the run is cancelled.
 
--- a/tests/gateway/test_cut_off.py
+++ b/tests/gateway/test_cut_off.py
@@ -32,10 +32,10 @@
     monkeypatch.setattr(cut.mesh, "alive", lambda: [])
     monkeypatch.setattr(cut.mesh, "incarnation_alive", lambda incarnation: False)
     reached, world.store_of(cut)._base = world.store_of(cut)._base, NOWHERE
-    await until(lambda: not cut.store_reachability.reached)
+    await until(lambda: not cut.reachability.reached)
     await asyncio.sleep(TAKEOVER_AFTER_S + ORPHAN_CHECK_INTERVAL_S)
     world.store_of(cut)._base = reached
-    await until(lambda: cut.store_reachability.reached)
+    await until(lambda: cut.reachability.reached)
     await asyncio.sleep(TAKEOVER_AFTER_S / 2)
     assert "j1" not in cut.keeper.held_by_id
     await until(lambda: "j1" in cut.keeper.held_by_id)
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -369,7 +369,7 @@
     second = await world.add_instance()
     world.store_of(second)._base = "http://127.0.0.1:1"
     await until(lambda: any(m.store_reached for m in second.mesh.alive()))
-    second.store_reachability.record_failure("it is turned away")
+    second.reachability.record_failure("it is turned away")
     await until(lambda: second.configuration.table is not None)
     assert (await world.submit(second, "j1", ITEMS)).status == 202
     results = await listed(world, first, "j1", 3)
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -108,7 +108,7 @@
 ) -> None:
     asks = Asks()
     instance.mesh.send = asks.note
-    instance.store_reachability.record_failure("it is away")
+    instance.reachability.record_failure("it is away")
     index = instance.index.copy
     newer = Heartbeat([], {index.table: index.read_version + 100})
     instance.updates._receive_heartbeat(PEERS[0], newer)
--- a/tests/gateway/test_requests_that_end_targets.py
+++ b/tests/gateway/test_requests_that_end_targets.py
@@ -540,9 +540,7 @@
     """Nobody can take the right to try again then, and the store learns of it later."""
     await repeat(fleet, "/once/1", count=2)
     fleet.store.refuse = 503
-    await until(
-        lambda: not any(one.store_reachability.reached for one in fleet.instances)
-    )
+    await until(lambda: not any(one.reachability.reached for one in fleet.instances))
     await fleet.ask(fleet.instances[2], "/once/1", "f2", FATAL)
     await all_know(fleet)
     ahead.append(PAUSES_S[0])
@@ -564,9 +562,7 @@
     fleet: World,
 ) -> None:
     fleet.store.refuse = 503
-    await until(
-        lambda: not any(one.store_reachability.reached for one in fleet.instances)
-    )
+    await until(lambda: not any(one.reachability.reached for one in fleet.instances))
     for number, instance in enumerate(fleet.instances):
         await fleet.ask(instance, "/once/1", f"f{number}", FATAL)
         await all_know(fleet)
--- a/tests/gateway/test_silent_connections.py
+++ b/tests/gateway/test_silent_connections.py
@@ -131,12 +131,12 @@
     instance = await world.add_instance()
     await world.ready()
     returns: list[float] = []
-    instance.store_reachability.on_recovered(returns.append)
+    instance.reachability.on_recovered(returns.append)
     store_way.silence()
     # Whatever was asked before the silence has had its time by then.
     await asyncio.sleep(LONG_POLL_S + WATCH_SLACK_S + INDEX_READ_INTERVAL_S + SLACK_S)
     assert len(returns) <= 1
-    assert instance.store_reachability.reached
+    assert instance.reachability.reached
     version = 2
     world.configure(version, ROUTES)
     await until(lambda: instance.configuration.table.version == version, SLACK_S)
@@ -166,11 +166,11 @@
     instance = await world.add_instance()
     await world.ready()
     returns: list[float] = []
-    instance.store_reachability.on_recovered(returns.append)
+    instance.reachability.on_recovered(returns.append)
     watches = len(world.store.waits_ms)
     store_way.reset()
     await until(lambda: returns)
-    assert instance.store_reachability.reached
+    assert instance.reachability.reached
     # The watch that told it asked for an answer at once, and the pause before it is
     # short; real time would also count what else the machine does.
     assert world.store.waits_ms[watches] == 0
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -228,9 +228,7 @@
 ) -> None:
     await world.submit(world.instances[0], "job", ITEMS)
     world.store.refuse = 503
-    await until(
-        lambda: not any(one.store_reachability.reached for one in world.instances)
-    )
+    await until(lambda: not any(one.reachability.reached for one in world.instances))
     await suspension.of(seconds)
     world.store.refuse = None
     await until(lambda: _listed_at(world, "job") == len(ITEMS))
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -343,6 +343,6 @@
     await asyncio.sleep(HEARTBEAT_INTERVAL_S)
     instance.updates._receive_heartbeat(id, Heartbeat([], {}, store_reached=True))
     looked: list[None] = []
-    instance.store_reachability.recheck = lambda: looked.append(None)
+    instance.reachability.recheck = lambda: looked.append(None)
     instance.updates._receive_heartbeat(id, Heartbeat([], {}, store_reached=False))
     assert len(looked) == rechecks
