--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Gateway instances on loopback before stand-ins of the users' store and runners."""
+"""Gateway instances on loopback with stand-ins for the users' store and runners."""
 
 import asyncio
 import base64
@@ -59,7 +59,7 @@
 ]
 
 
-# Settings of an instance that runs as a process.
+# Settings of an instance that runs as a separate process.
 SETTINGS = """\
 [instance]
 id = "{id}"
@@ -117,10 +117,10 @@
 
 
 def free_address() -> str:
-    """Return an address with a port that the system gave.
+    """Return an address with a port that the system chose.
 
-    The host is one of the loopback range that nothing else uses, so that no connection
-    and no other test process gets the port between now and its use.
+    The host is an address of the loopback range that nothing else uses, so that neither
+    a connection nor another test process takes the port before it is used.
     """
     process = os.getpid()
     host = f"127.{1 + process % 250}.{process // 250 % 250}.{next(_hosts) % 250 + 1}"
@@ -130,7 +130,7 @@
 
 
 class Answer:
-    """What a caller got."""
+    """The answer that a caller received."""
 
     def __init__(self, status: int, headers: Any, body: bytes, whole: bool) -> None:
         self.status = status
@@ -146,7 +146,7 @@
 
 
 class World:
-    """Instances, their store and their runners; all in this process."""
+    """Instances, their store and their runners, all in this process."""
 
     def __init__(self) -> None:
         self.store = StoreStandin()
@@ -154,7 +154,7 @@
         self.instances: list[GatewayInstance] = []
         self._stores: list[HttpRowStore] = []
         self._sites: list[web.AppRunner] = []
-        self.runners_ended: list[RunnerStandin] = []
+        self.crashed_runners: list[RunnerStandin] = []
         self._session: aiohttp.ClientSession | None = None
         self.store_address = ""
         self._addresses_by_runner: dict[str, str] = {}
@@ -181,7 +181,7 @@
         return self._address_of(await self._site(application))
 
     def _address_of(self, site: web.TCPSite) -> str:
-        """Return where a site listens."""
+        """Return the address that a site listens on."""
         assert site._server is not None
         host, port = site._server.sockets[0].getsockname()
         return f"{host}:{port}"
@@ -205,20 +205,20 @@
 
     async def add_runner(self, zone: str = "a", slots: int = 4) -> RunnerStandin:
         """Start a runner and list it."""
-        number = len(self.runners) + len(self.runners_ended)
+        number = len(self.runners) + len(self.crashed_runners)
         runner = RunnerStandin(f"i-{number}", slots)
         self.runners.append(runner)
         site = await self._site(runner.application())
-        runner.close_door = site.stop
+        runner.stop_listening = site.stop
         self._addresses_by_runner[runner.id] = self._address_of(site)
         self.list_runner(runner, zone)
         return runner
 
-    async def replace_ended(self) -> None:
-        """Have another runner come for each that has ended."""
-        for ended in [one for one in self.runners if one.ended]:
+    async def replace_crashed(self) -> None:
+        """Replace each crashed runner by a new one."""
+        for ended in [one for one in self.runners if one.crashed]:
             self.runners.remove(ended)
-            self.runners_ended.append(ended)
+            self.crashed_runners.append(ended)
             self.store.remove("servers", ended.id)
             runner = await self.add_runner(slots=ended.slots)
             runner.fatal = ended.fatal
@@ -234,7 +234,7 @@
         state: str = "ready",
         born: int | None = None,
     ) -> None:
-        """Write a runner's entry; ``born`` is the start of its life, in ms."""
+        """Write a runner's entry; ``born`` is when its incarnation started, in ms."""
         entry = {
             "service": "model",
             "address": self._addresses_by_runner[runner.id],
@@ -273,7 +273,7 @@
         return instance
 
     async def ready(self) -> None:
-        """Wait until every instance is ready and hears all others."""
+        """Wait until every instance is ready and connected to all others."""
         for instance in self.instances:
             await until(lambda one=instance: one.ready)
             await until(
@@ -284,11 +284,11 @@
             )
 
     def store_of(self, instance: GatewayInstance) -> HttpRowStore:
-        """Return the client of the store that an instance has."""
+        """Return the store client of an instance."""
         return self._stores[self.instances.index(instance)]
 
     async def kill(self, instance: GatewayInstance) -> None:
-        """End an instance with no notice to anybody."""
+        """Stop an instance without notice to its peers."""
         place = self.instances.index(instance)
         self.instances.pop(place)
         store = self._stores.pop(place)
@@ -319,7 +319,7 @@
         body: bytes | None = None,
         json: Any = None,
     ) -> Answer:
-        """Call an instance and take whatever comes."""
+        """Call an instance and return its answer, complete or not."""
         assert self._session is not None
         pieces: list[bytes] = []
         url = yarl.URL(f"http://{instance.settings.callers}{path}", encoded=True)
@@ -338,7 +338,7 @@
     async def submit(
         self, instance: GatewayInstance, id: str, items: list[str], tokens: int = 10
     ) -> Answer:
-        """Send a job."""
+        """Submit a job."""
         return await self.call(
             instance,
             "POST",
@@ -372,5 +372,5 @@
 
 @pytest.fixture
 def many_peers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have instances act as if they had too many peers for a full mesh."""
+    """Make instances act as if they had too many peers for a full mesh."""
     monkeypatch.setattr(roster, "MAX_FULL_MESH_PEERS", 0)
--- a/tests/gateway/runner_standin.py
+++ b/tests/gateway/runner_standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the users' runners, written from their published pages."""
+"""A small stand-in for the users' runners, after their published documentation."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 
 class Run:
-    """One request that began to run."""
+    """One request that started to run."""
 
     def __init__(self, request: web.Request, body: bytes) -> None:
         self.id = request.headers["X-Request-Id"]
@@ -24,7 +24,7 @@
         self.sent = 0
         self.cut = False
         self.silent = False
-        self.ended = False
+        self.finished = False
 
 
 class RunnerStandin:
@@ -32,25 +32,31 @@
 
     Attributes:
         id: of this incarnation.
-        events: that an answer has.
+        slots: requests that it runs at the same time.
+        events: number of events in an answer.
         pause_s: between events.
         slow_pause_s: between events of answers to paths that end in ``/slow``.
-        break_after: events after which the next answers break off; None for never.
-        silent_after: events after which the next answers fall silent.
-        refuse: answers that say the request was not run.
+        break_after: events after which an answer breaks off; None for never.
+        silent_after: events after which an answer falls silent; None for never.
+        refuse: refuse requests as not run.
         status: of answers; other than 200 without events.
-        lose: reset the connection instead of the next answers.
+        lose: reset the connection instead of answering.
         wrong_id: answer with the id of another request.
-        runs: that began.
-        leftover: runs of callers that lost power, which nobody knows of.
-        misdirected: requests that were meant for another incarnation.
-        hold_head: begin to run, but send no head of the answer.
-        reports_to_anybody: tell the load also to who means another incarnation.
-        fatal: whether a request ends the runner soon after it has begun to run.
-        fatal_after: events of it that go out before.
-        fatal_anyway: a fatal request ends the runner though its caller has left.
-        close_door: ends listening; given by who serves the runner.
-        ended: it has ended; by ``end`` or by a fatal request.
+        unframed: answer without a length.
+        runs: that were started.
+        busy: requests that run now.
+        max_busy: the largest value of ``busy`` so far.
+        refused: number of refused requests.
+        orphaned: runs of callers that lost power, which no instance knows of.
+        misdirected: requests that were addressed to another incarnation.
+        hold_head: run requests, but send no head of the answer.
+        reports_to_all: report the load also when another incarnation is addressed.
+        fatal: whether a request crashes the runner soon after it has started to run.
+        fatal_after: events of a fatal request that are sent before the crash.
+        fatal_after_disconnect: a fatal request crashes the runner even if its caller
+            has disconnected.
+        stop_listening: closes the listening socket; set by the server of the runner.
+        crashed: by ``crash`` or by a fatal request.
     """
 
     def __init__(self, id: str, slots: int = 4) -> None:
@@ -68,33 +74,33 @@
         self.unframed = False
         self.runs: list[Run] = []
         self.busy = 0
-        self.most_busy = 0
+        self.max_busy = 0
         self.refused = 0
-        self.leftover = 0
+        self.orphaned = 0
         self.misdirected = 0
-        self.reports_to_anybody = False
+        self.reports_to_all = False
         self.hold_head = False
         self.fatal: Callable[[Run], bool] = lambda run: False
         self.fatal_after = 0
-        self.fatal_anyway = False
-        self.close_door: Callable[[], Awaitable[None]] = _nothing
-        self.ended = False
+        self.fatal_after_disconnect = False
+        self.stop_listening: Callable[[], Awaitable[None]] = _nothing
+        self.crashed = False
         self._transports: set[asyncio.Transport] = set()
-        self._ending: asyncio.Task[None] | None = None
+        self._crashing: asyncio.Task[None] | None = None
 
-    async def end(self) -> None:
+    async def crash(self) -> None:
         """Crash: cut all connections and accept no more."""
-        self.ended = True
-        await self.close_door()
+        self.crashed = True
+        await self.stop_listening()
         for transport in list(self._transports):
             transport.abort()
 
-    async def _end_soon(self) -> None:
+    async def _crash_soon(self) -> None:
         await asyncio.sleep(self.pause_s)
-        await self.end()
+        await self.crash()
 
     def application(self) -> web.Application:
-        """Return what serves the runner."""
+        """Return the application of the runner."""
         application = web.Application()
         application.router.add_get("/healthz", self._health)
         application.router.add_get("/report", self._report)
@@ -107,9 +113,9 @@
 
     async def _report(self, request: web.Request) -> web.Response:
         meant = request.headers.get("X-Expect-Instance", self.id)
-        if meant != self.id and not self.reports_to_anybody:
+        if meant != self.id and not self.reports_to_all:
             return web.Response(status=421)
-        active = self.busy + self.leftover
+        active = self.busy + self.orphaned
         return web.json_response({"activeRequests": active, "queueDepth": 0})
 
     async def _health(self, _: web.Request) -> web.Response:
@@ -129,7 +135,7 @@
         run = Run(request, body)
         self.runs.append(run)
         self.busy += 1
-        self.most_busy = max(self.most_busy, self.busy)
+        self.max_busy = max(self.max_busy, self.busy)
         assert request.transport is not None
         self._transports.add(request.transport)
         transport = request.transport
@@ -155,7 +161,7 @@
             marks["X-Request-Id"] = "another"
         marks["X-Response-Stamp"] = f"stamp-{self.id}-{run.id}"
         if self.status != 200:
-            run.ended = True
+            run.finished = True
             return web.Response(status=self.status, headers=marks, text="failed")
         marks["Content-Type"] = "text/event-stream"
         response = web.StreamResponse(headers=marks)
@@ -165,14 +171,14 @@
         await response.prepare(request)
         sent = 0
         fatal = self.fatal(run)
-        if fatal and self.fatal_anyway:
-            self._ending = asyncio.ensure_future(self._end_soon())
+        if fatal and self.fatal_after_disconnect:
+            self._crashing = asyncio.ensure_future(self._crash_soon())
         for number, data in enumerate(self.text(run.id), 1):
             if number <= run.resumed_after:
                 continue
             if fatal and sent >= self.fatal_after:
                 await asyncio.sleep(self.pause_s)
-                await self.end()
+                await self.crash()
                 return response
             if self.break_after is not None and sent >= self.break_after:
                 await response.write(b"id: ")
@@ -190,5 +196,5 @@
             slow = run.path.endswith("/slow")
             await asyncio.sleep(self.slow_pause_s if slow else self.pause_s)
         await response.write_eof()
-        run.ended = True
+        run.finished = True
         return response
--- a/tests/gateway/test_answer_limits.py
+++ b/tests/gateway/test_answer_limits.py
@@ -1,4 +1,4 @@
-"""The times of answers, and a stop that brings them forward."""
+"""Deadlines of answers, and a stop that caps them."""
 
 import asyncio
 import math
@@ -38,21 +38,21 @@
 
 
 async def test_a_stop_may_come_in_the_turn_in_which_a_time_is_over() -> None:
-    """The library lets nobody change a time that is over."""
+    """``asyncio.Timeout`` raises if an expired deadline is rescheduled."""
     limits = AnswerLimits()
     loop = asyncio.get_running_loop()
-    ended: list[BaseException | None] = []
+    outcomes: list[BaseException | None] = []
 
-    def end() -> None:
+    def cap_limits() -> None:
         try:
             limits.cap(loop.time() - 60.0)
         except RuntimeError as error:
-            ended.append(error)
+            outcomes.append(error)
         else:
-            ended.append(None)
+            outcomes.append(None)
 
     with pytest.raises(TimeoutError):
         async with limits.within(loop.time()):
-            loop.call_soon(end)
+            loop.call_soon(cap_limits)
             await asyncio.Event().wait()
-    assert ended == [None]
+    assert outcomes == [None]
--- a/tests/gateway/test_answers_in_a_stop.py
+++ b/tests/gateway/test_answers_in_a_stop.py
@@ -1,4 +1,4 @@
-"""Whatever was read before or in a planned stop has its answer before the end of it."""
+"""Requests read before or during a planned stop are answered before its end."""
 
 import asyncio
 import contextlib
@@ -13,20 +13,17 @@
 
 
 async def hang(*_: object, **__: object) -> None:
-    """Take the place of a call that gets no answer in the time of a stop."""
+    """Replace a call that gets no answer during a stop."""
     await asyncio.Event().wait()
 
 
 async def test_every_job_call_is_answered_though_the_store_is_silent(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A stop brings forward the end of what it finds and of what it still takes.
+    """Guards against job calls cut off by a stop while the store does not answer.
 
-    Found by reading every way in which a call can end: only the pauses between two
-    calls of the store looked at the end of the stop, not those calls, nor a read that
-    is held; and what had begun before SIGTERM kept its own time.
-
-    Proved by: the stop below counts all of these calls as cut.
+    Only the pauses between two calls of the store observed the end of the stop, not the
+    calls themselves, long polls, or requests that had started before SIGTERM.
     """
     runner = await world.add_runner()
     runner.silent_after = 0
@@ -43,7 +40,7 @@
         ]
         return [asyncio.ensure_future(call) for call in calls]
 
-    held = asyncio.ensure_future(world.results(instance, "before", 0, LONG_MS))
+    polling = asyncio.ensure_future(world.results(instance, "before", 0, LONG_MS))
     await until(lambda: instance.edge.running == 1)
     store = world.store_of(instance)
     for name in ("read", "transact", "put_object", "get_object"):
@@ -57,7 +54,7 @@
     assert await stopping == 0
     for call in calls:
         assert (await call).status in (503, 504)
-    assert (await held).status == 503  # whoever holds the job now may know more
+    assert (await polling).status == 503  # the new holder of the job may know more
 
 
 async def test_a_held_read_ends_with_what_is_known(world: World) -> None:
@@ -77,11 +74,10 @@
 async def test_requests_taken_before_a_stop_are_answered_before_its_end(
     world: World,
 ) -> None:
-    """Their targets, and their callers, may be silent for longer than is left.
-
-    Found with the calls of jobs: only what came after SIGTERM had its time shortened.
+    """Guards against requests cut off by a stop without a status.
 
-    Proved by: the stop below counts both as cut, and neither caller gets a status.
+    A target or a caller may be silent for longer than the stop has left, and only
+    requests received after SIGTERM had their deadline shortened.
     """
     runner = await world.add_runner()
     runner.silent_after = 0
@@ -103,12 +99,10 @@
 async def test_errors_in_the_steps_of_a_stop_cut_nothing(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An instance that stops owes its callers more than its peers.
+    """Guards against errors in the hand-over to peers that cut off callers.
 
-    Found by making the steps fail: an error in telling peers ended the stop before it
-    began, and with it every request; one in handing over jobs kept the instance listed.
-
-    Proved by: the stop below raises, or leaves out a step.
+    An error in the notification of peers aborted the stop, and all requests with it;
+    one in the hand-over of jobs left the instance registered.
     """
     runner = await world.add_runner()
     runner.events = 40
@@ -132,7 +126,7 @@
 
 
 async def test_a_request_behind_the_last_answer_is_not_run(world: World) -> None:
-    """Its caller may send it again: an answer that says so is the last."""
+    """Its caller may send it again, as the previous answer closed the connection."""
     runner = await world.add_runner()
     instance = await world.add_instance()
     await world.ready()
@@ -143,13 +137,13 @@
     for id in ("first", "second"):
         head = f"POST /ask/1 HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {id}\r\n"
         writer.write(f"{head}Content-Length: 0\r\n\r\n".encode())
-    got = b""
+    received = b""
     with contextlib.suppress(ConnectionError):
-        got = await reader.read()
-        while piece := await reader.read():
-            got += piece
-    assert got.count(b"HTTP/1.1 200") == 1
-    assert b"Connection: close" in got
+        received = await reader.read()
+        while chunk := await reader.read():
+            received += chunk
+    assert received.count(b"HTTP/1.1 200") == 1
+    assert b"Connection: close" in received
     assert await stopping == 0
     assert [run.id for run in runner.runs] == ["first"]
     writer.close()
@@ -158,7 +152,7 @@
 async def test_a_request_behind_a_stream_that_began_before_is_answered(
     world: World,
 ) -> None:
-    """The head of the stream's answer had not said that it is the last."""
+    """The head of the stream, sent before the stop, did not announce the close."""
     runner = await world.add_runner()
     runner.events = 40
     runner.pause_s = 0.05
@@ -168,15 +162,15 @@
     reader, writer = await asyncio.open_connection(host, int(port))
     head = f"POST /ask/1 HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 0\r\n"
     writer.write(f"{head}X-Request-Id: first\r\n\r\n".encode())
-    got = await reader.readuntil(b"first-1\n")
+    received = await reader.readuntil(b"first-1\n")
     stopping = asyncio.ensure_future(instance.stop(6.0))
     await until(lambda: instance.edge.closing)
     runner.events = 3
     writer.write(f"{head}X-Request-Id: second\r\n\r\n".encode())
-    while piece := await reader.read(65536):
-        got += piece
-    assert got.count(b"HTTP/1.1 200") == 2
-    assert b"second-3\n" in got
+    while chunk := await reader.read(65536):
+        received += chunk
+    assert received.count(b"HTTP/1.1 200") == 2
+    assert b"second-3\n" in received
     assert await stopping == 0
     writer.close()
 
@@ -184,13 +178,11 @@
 async def test_a_stream_that_comes_late_in_a_stop_is_whole_or_refused(
     world: World,
 ) -> None:
-    """A target that needs longer than the instance has left is not begun on.
-
-    Found by reading what a closing door leaves to an answer: 2.8 s of a grace period of
-    8 s, however long the answer is.
+    """Guards against streams that are accepted late in a stop and then cut off.
 
-    Proved by: the stream below is taken 3.6 s after SIGTERM, when the balancer has
-    moved on, and broken off in the middle 3.7 s later.
+    The closing of the listener leaves 2.8 s of a grace period of 8 s to an answer,
+    however long it is. A stream accepted 3.6 s after SIGTERM, when the balancer had
+    moved the callers, was broken off 3.7 s later.
     """
     runner = await world.add_runner(slots=64)
     runner.events = 60
@@ -199,7 +191,7 @@
     await world.ready()
     stopping = asyncio.ensure_future(instance.stop(8.0))
     asked: list[asyncio.Future] = []
-    for number in range(12):  # callers that never pause
+    for number in range(12):  # callers that send without a pause
         asked.append(asyncio.ensure_future(world.ask(instance, "/once/1", f"{number}")))
         await asyncio.sleep(0.3)
     late = asyncio.ensure_future(world.ask(instance, "/once/1", "late"))
@@ -213,11 +205,11 @@
 async def test_a_stream_that_the_stop_would_cut_is_refused_at_once(
     world: World,
 ) -> None:
-    """Whoever is turned away unrun is answered whole by another instance.
+    """Guards against streams cut off although a refusal would have saved them.
 
-    Found by reading: the door closes 3.8 s before the last answer has to be given, so
-    that a stream taken just before it was cut if it lasted longer. What runs take at
-    its service is known by then.
+    The listener closes 3.8 s before the last answer must be complete, so a longer
+    stream accepted just before it was cut off. The usual length of runs is known by
+    then, and another instance answers a refused caller completely.
     """
     runner = await world.add_runner()
     instance = await world.add_instance()
@@ -236,10 +228,10 @@
 async def test_a_stream_is_refused_in_a_stop_that_would_cut_the_longest_of_late(
     world: World,
 ) -> None:
-    """Most runs of a service may be short and the next one long all the same.
+    """Guards against rare long streams that are cut off at the end of a stop.
 
-    Seen in a soak: at targets whose runs took 0.75 s usually and 1.73 s now and then,
-    streams that began late in a stop were given up at its end.
+    At targets whose runs usually took 0.75 s and sometimes 1.73 s, streams that started
+    late in a stop were cut off.
     """
     runner = await world.add_runner()
     runner.slow_pause_s = 0.3
@@ -259,7 +251,7 @@
 async def test_a_stream_is_taken_while_callers_have_nowhere_else_to_go(
     world: World,
 ) -> None:
-    """Until the balancer has moved on, a caller that is refused may come back here."""
+    """Until the balancer has moved callers, a refused one may return here."""
     runner = await world.add_runner()
     instance = await world.add_instance()
     await world.ready()
--- a/tests/gateway/test_crowded_targets.py
+++ b/tests/gateway/test_crowded_targets.py
@@ -49,7 +49,7 @@
     await world.ready()
     _tell_online(instance, runner.id, SLOTS - 1)
     assert (await world.submit(instance, "j1", ["x1"])).status == 202
-    await until(lambda: any(run.ended for run in runner.runs), within_s=2.0)
+    await until(lambda: any(run.finished for run in runner.runs), within_s=2.0)
 
 
 def _tell_online(instance, target: str, online: int) -> None:
--- a/tests/gateway/test_ending.py
+++ b/tests/gateway/test_ending.py
@@ -1,4 +1,4 @@
-"""An instance that has said it is stopped is gone, whatever of it hangs."""
+"""The process of a stopped instance exits, whichever of its parts hangs."""
 
 import asyncio
 import os
@@ -24,7 +24,7 @@
         try:
             await asyncio.sleep(600)
         except asyncio.CancelledError:
-            pass  # as if something on the way had taken it for an error of its own
+            pass  # like code that mistakes the cancellation for an error of its own
 
 
 async def with_thread(self):
@@ -57,7 +57,7 @@
 
 
 async def stopped(world: World, folder: Path, hanging: str) -> tuple[int | None, str]:
-    """Start an instance, stop it, and return its code and what it logged."""
+    """Start and stop an instance; return its exit code and its log."""
     settings = folder / "local.toml"
     callers, ready, peers = (free_address() for _ in range(3))
     settings.write_text(
--- a/tests/gateway/test_item_leases.py
+++ b/tests/gateway/test_item_leases.py
@@ -60,7 +60,7 @@
     assert len(runner.runs) > 2
     begun = [run.resumed_after for run in runner.runs]
     assert begun == sorted(set(begun))
-    assert runner.most_busy == 1
+    assert runner.max_busy == 1
 
 
 @pytest.mark.usefixtures("renewed_often")
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -80,7 +80,7 @@
     assert sorted(one["id"] for one in results) == ITEMS
     await asyncio.sleep(delay_s * 1.5)
     assert await listed(world, instance, "j1", 3) == results
-    assert runner.most_busy <= runner.slots
+    assert runner.max_busy <= runner.slots
 
 
 async def test_what_a_killed_instance_held_goes_on_behind_its_last_event(
@@ -424,7 +424,7 @@
 ) -> None:
     """An instance without power closes nothing; its runs go on at their targets."""
     runner = await world.add_runner(slots=3)
-    runner.leftover = 2
+    runner.orphaned = 2
     instance = await world.add_instance()
     await world.ready()
     await until(lambda: instance.fleet.occupancy.total_at(runner.id).total == 2)
@@ -432,8 +432,8 @@
     await world.submit(instance, "j1", ITEMS)
     await until(lambda: runner.busy)
     await asyncio.sleep(0.6)
-    assert runner.most_busy == 1
-    runner.leftover = 0
+    assert runner.max_busy == 1
+    runner.orphaned = 0
     await until(lambda: runner.busy == 3)
     assert instance.fleet.occupancy.total_at(runner.id).total == 3
 
--- a/tests/gateway/test_log_stream.py
+++ b/tests/gateway/test_log_stream.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, and a reader that stops reading holds nobody up."""
+"""Log lines are rate-limited, and a reader that stops reading blocks no writer."""
 
 import os
 from collections.abc import Iterator
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -185,4 +185,4 @@
 
 
 def _ended(runner, items: list[str]) -> bool:
-    return set(items) <= {run.id for run in runner.runs if run.ended}
+    return set(items) <= {run.id for run in runner.runs if run.finished}
--- a/tests/gateway/test_online.py
+++ b/tests/gateway/test_online.py
@@ -1,4 +1,4 @@
-"""Online requests: passed on unchanged, moved where they may be, never run twice."""
+"""Online requests: forwarded unchanged, retried where allowed, never run twice."""
 
 import asyncio
 
@@ -111,7 +111,7 @@
 async def test_the_log_tells_a_target_s_failure_from_an_answer(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A failure that may not be tried elsewhere is passed on, and is an answer too."""
+    """A failure that must not be retried is relayed and logged as an answer too."""
     lines: list[dict] = []
     monkeypatch.setattr(edge.log, "info", lambda _, **fields: lines.append(fields))
     runner = await world.add_runner()
@@ -120,9 +120,9 @@
     for status, id in ((200, "r1"), (500, "r2")):
         runner.status = status
         await world.ask(instance, f"/once/{id}", id)
-    told = {line["request"]: line for line in lines if "status" in line}
-    assert (told["r1"]["status"], told["r2"]["status"]) == (200, 500)
-    assert all(0 <= line["begun_s"] <= line["took_s"] for line in told.values())
+    answered = {line["request"]: line for line in lines if "status" in line}
+    assert (answered["r1"]["status"], answered["r2"]["status"]) == (200, 500)
+    assert all(0 <= line["begun_s"] <= line["took_s"] for line in answered.values())
 
 
 async def test_a_request_that_fails_everywhere_runs_as_often_as_its_route_allows(
@@ -166,10 +166,10 @@
     world.configure(2, [route("once", resumable=False, timeoutMs=300)])
     instance = await world.add_instance()
     await world.ready()
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     answer = await world.ask(instance, "/once/1", "r1")
     assert answer.status == 504
-    assert asyncio.get_running_loop().time() - began < 0.8
+    assert asyncio.get_running_loop().time() - started_at < 0.8
 
 
 async def test_an_answer_without_length_that_is_reset_is_not_whole(
@@ -209,7 +209,7 @@
     second = await world.add_instance()
     await world.ready()
     watcher = second._watchers[0]
-    second._tasks[0].cancel()  # its watch of the configuration hears nothing more
+    second._tasks[0].cancel()  # stops its long poll of the configuration
     assert watcher.copy.loaded
     world.configure(7, ROUTES)
     await until(lambda: second.configuration.table.version == 7, within_s=2.0)
--- a/tests/gateway/test_overdue_answers.py
+++ b/tests/gateway/test_overdue_answers.py
@@ -1,8 +1,8 @@
-"""Answers of the store that are lost, or late, and calls that are made again.
+"""Hedged calls of the store, whose answers may be lost or late.
 
-Seen on random days on which the store loses the answers of a third of the writes: a job
-whose acceptance met one was accepted 2 to 4 s after it was sent, the time-out of a call
-each time, where its caller allows 0.4 s. The log lines `job not accepted yet` tell it.
+Guards against jobs that are accepted too late. When the store lost the answers of a
+third of the writes, a job whose write was affected was accepted 2 to 4 s after its
+submission, one call time-out each time, where its caller allows 0.4 s.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class ScriptedStore(MemoryRows):
-    """Answers transactions as told, one after the other; None never answers."""
+    """Answers transactions with the given results in turn; None never answers."""
 
     def __init__(self) -> None:
         self.answers: list[Result[Done, TransactionError] | None] = []
@@ -64,7 +64,7 @@
 UNKNOWN = Err(Unknown("lost"))
 NOT_DONE = Err(NotDone("busy"))
 UNSETTLED = Err(Unknown("none of several calls was answered"))
-# Its time-out comes after the other calls have ended.
+# Times out after the other calls have finished.
 UNANSWERED = Err(Unknown("no answer in time"))
 
 
@@ -75,11 +75,11 @@
         ([NOT_DONE], NOT_DONE, 1),
         ([UNKNOWN], UNKNOWN, 1),
         ([None, DONE], DONE, 2),
-        # The first took effect, its answer was lost: the second finds it there.
+        # The first call took effect and its answer was lost; the second finds the row.
         ([None, REFUSED], REFUSED, 2),
         ([None, UNKNOWN, DONE], DONE, 3),
         ([None, None, REFUSED], REFUSED, 3),
-        # That the second was not done says nothing of the first.
+        # That the second call was not done says nothing about the first.
         ([None, NOT_DONE, DONE], DONE, 3),
         ([UNANSWERED, NOT_DONE, NOT_DONE], UNSETTLED, 3),
     ],
@@ -116,7 +116,7 @@
 async def test_a_job_is_accepted_at_once_though_answers_are_lost(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Longer than any test waits: only another call can settle it.
+    # Longer than any test waits, so only a hedged call can succeed.
     monkeypatch.setattr(platform_store, "CALL_S", 60.0)
     runner = await world.add_runner()
     instance = await world.add_instance()
--- a/tests/gateway/test_replaced_targets.py
+++ b/tests/gateway/test_replaced_targets.py
@@ -1,11 +1,10 @@
-"""Targets that another incarnation has replaced before the list says so.
+"""Targets replaced by another incarnation before the list of targets shows it.
 
-Seen on a deployment of 45 targets: eight of them crashed while the store was away and
-came back, each as another incarnation at the same address. Their old entries stayed
-listed for 5 s, and looked empty. 1,260 online requests were offered to them, 3,182
-times in all, and each time the answer was that another target had been meant. Items
-were offered to them 397 times. The log lines of the failed attempts told it: one
-status, eight targets, each some 130 times a second.
+Guards against requests that are sent to such targets again and again. Of 45 targets
+eight crashed during a store outage and restarted, each as another incarnation at the
+same address. Their old entries stayed listed for 5 s and looked idle: 1,260 online
+requests were sent to them 3,182 times in all, and items 397 times, and each attempt was
+refused because another target was addressed.
 """
 
 import asyncio
@@ -22,7 +21,7 @@
     other = await world.add_runner()
     instance = await world.add_instance()
     await world.ready()
-    runner.reports_to_anybody = True  # requests alone find it
+    runner.reports_to_all = True  # only requests detect the replacement
     runner.id = "i-0-again"
     for number in range(REQUESTS):
         answer = await world.ask(instance, f"/once/{number}", f"r{number}")
@@ -36,7 +35,7 @@
     instance = await world.add_instance()
     await world.ready()
     runner.id = "i-0-again"
-    world.runners[1].pause_s = 0.1  # long enough for others to be offered again
+    world.runners[1].pause_s = 0.1  # long enough for other items to be sent again
     await world.submit(instance, "j1", ITEMS)
     results = await listed(world, instance, "j1", len(ITEMS))
     assert sorted(one["id"] for one in results) == ITEMS
@@ -63,16 +62,16 @@
 async def test_what_another_target_does_is_not_counted_for_an_old_entry(
     world: World,
 ) -> None:
-    """Instances ask targets how much they do; the old entry has no runs any more."""
+    """Instances poll the load of targets; the old entry has no runs any more."""
     runner = await world.add_runner()
-    runner.leftover = 2
+    runner.orphaned = 2
     instance = await world.add_instance()
     await world.ready()
-    of_nobody = instance.fleet.occupancy.count_of
-    await until(lambda: of_nobody(ORPHANED, "i-0").total == 2)
+    count_of = instance.fleet.occupancy.count_of
+    await until(lambda: count_of(ORPHANED, "i-0").total == 2)
     runner.id = "i-0-again"
     usable = instance.fleet.is_usable
     now = asyncio.get_running_loop().time
     await until(lambda: not usable("i-0", now()))
-    await until(lambda: of_nobody(ORPHANED, "i-0").total == 0)
+    await until(lambda: count_of(ORPHANED, "i-0").total == 0)
     assert runner.runs == []
--- a/tests/gateway/test_requests_that_end_targets.py
+++ b/tests/gateway/test_requests_that_end_targets.py
@@ -83,14 +83,14 @@
         answers.append(answer)
         if ended(world) > ends:
             await all_know(world)
-        await world.replace_ended()
+        await world.replace_crashed()
     return answers
 
 
 def ended(world: World) -> int:
     """Return how many targets have ended."""
-    here = sum(1 for one in world.runners if one.ended)
-    return here + len(world.runners_ended)
+    here = sum(1 for one in world.runners if one.crashed)
+    return here + len(world.crashed_runners)
 
 
 async def all_know(world: World) -> None:
@@ -105,7 +105,7 @@
 
 
 def all_ended(world: World) -> list:
-    return [*world.runners_ended, *(one for one in world.runners if one.ended)]
+    return [*world.crashed_runners, *(one for one in world.runners if one.crashed)]
 
 
 def known_targets(instance: GatewayInstance) -> set[str]:
@@ -116,8 +116,8 @@
 
 def completed(world: World) -> set[str]:
     """Return the ids of requests that ran to their end."""
-    runners = [*world.runners, *world.runners_ended]
-    return {run.id for one in runners for run in one.runs if run.ended}
+    runners = [*world.runners, *world.crashed_runners]
+    return {run.id for one in runners for run in one.runs if run.finished}
 
 
 async def test_a_request_that_ended_three_targets_is_sent_to_no_other(
@@ -171,7 +171,7 @@
     await fleet.submit(fleet.instances[0], "job", ["sound-1", "fatal", "sound-2"])
     for number in range(1, ENOUGH + 1):
         await until(lambda many=number: ended(fleet) >= many)
-        await fleet.replace_ended()
+        await fleet.replace_crashed()
     sound = {"sound-1", "sound-2"}
     for number in range(10):
         # Time enough for it to be sent again, if it was.
@@ -188,7 +188,7 @@
     answer = await fleet.ask(fleet.instances[0], "/ask/1", "f0", FATAL)
     assert (answer.status, ended(fleet)) == (502, ENOUGH)
     await all_know(fleet)
-    await fleet.replace_ended()
+    await fleet.replace_crashed()
     answers = await repeat(fleet, "/ask/1", first=1, count=4)
     assert {answer.status for answer in answers} == {503}
     assert ended(fleet) == ENOUGH
@@ -314,8 +314,8 @@
     for _ in range(2 * ENOUGH):
         await until(lambda: busy(fleet))
         busiest = max(fleet.runners, key=lambda one: one.busy)
-        await busiest.end()
-        await fleet.replace_ended()
+        await busiest.crash()
+        await fleet.replace_crashed()
         ran_well = len(served)
         await until(lambda many=ran_well: len(served) > many)
     await asyncio.gather(*asking)
@@ -333,10 +333,10 @@
             fleet.ask(fleet.instances[number], "/once/1", f"r{number}", b"new")
         )
         await until(lambda: busy(fleet))
-        await next(one for one in fleet.runners if one.busy).end()
+        await next(one for one in fleet.runners if one.busy).crash()
         await asking
         await all_know(fleet)
-        await fleet.replace_ended()
+        await fleet.replace_crashed()
     answer = await fleet.ask(fleet.instances[0], "/once/1", "held", b"new")
     assert answer.status == 503
     assert float(answer.headers["Retry-After"]) <= PAUSES_S[0]
@@ -360,10 +360,10 @@
     ]
     await until(lambda: busy(fleet) == len(fleet.runners))
     for runner in fleet.runners:
-        await runner.end()
+        await runner.crash()
     await asyncio.gather(*asking)
     await all_know(fleet)
-    await fleet.replace_ended()
+    await fleet.replace_crashed()
     for number, instance in enumerate(fleet.instances):
         answer = await fleet.ask(instance, "/once/1", f"a{number}", b"popular")
         assert (answer.status, answer.whole) == (200, True)
@@ -382,7 +382,7 @@
     )
     assert ended(fleet) == ENOUGH + 1
     assert sorted(answer.status for answer in answers) == [502] + [503] * 8
-    await fleet.replace_ended()
+    await fleet.replace_crashed()
     for runner in fleet.runners:
         runner.fatal = lambda run: False
     answer = await fleet.ask(fleet.instances[1], "/once/1", "early", FATAL)
@@ -404,7 +404,7 @@
 ) -> None:
     for number in range(REPEATS):
         for runner in fleet.runners:
-            runner.fatal_anyway = True
+            runner.fatal_after_disconnect = True
         ends = ended(fleet)
         instance = fleet.instances[number % 3]
         asking = asyncio.ensure_future(
@@ -417,7 +417,7 @@
         if left:
             await until(lambda many=ends: ended(fleet) > many)
             await all_know(fleet)
-        await fleet.replace_ended()
+        await fleet.replace_crashed()
     assert ended(fleet) == ENOUGH
 
 
@@ -469,7 +469,7 @@
         targets = instance.fleet.targets
         await until(lambda known=targets: not known.of_service("model"))
     for runner in fleet.runners:
-        await runner.end()
+        await runner.crash()
     await asyncio.gather(*asking)
     await until(lambda: not fleet.instances[0].guard.checking_crashes)
     assert not any(one.guard.has_suspects for one in fleet.instances)
@@ -485,7 +485,7 @@
         answer = await fleet.ask(instance, "/once/1", f"f{number}", FATAL)
         assert answer.status == 502
         await until(lambda one=instance: not one.guard.checking_crashes)
-        await fleet.replace_ended()
+        await fleet.replace_crashed()
         await all_know(fleet)
     answer = await fleet.ask(fleet.instances[0], "/once/1", "f", FATAL)
     assert (answer.status, ended(fleet)) == (503, ENOUGH)
@@ -511,7 +511,7 @@
     assert line["request"] == f"f{ENOUGH}"
     assert [end["reported_by"] for end in line["ends"]] == ["e-0", "e-1", "e-2"]
     assert {end["target"] for end in line["ends"]} == {
-        one.id for one in fleet.runners_ended
+        one.id for one in fleet.crashed_runners
     }
     assert all(0 <= end["age_s"] < 60 for end in line["ends"])
     assert 0 < line["trial_in_s"] <= PAUSES_S[0]
@@ -608,7 +608,7 @@
         fleet.ask(fleet.instances[0], "/once/1", "p", b"popular")
     )
     await until(lambda: busy(fleet))
-    await next(one for one in fleet.runners if one.busy).end()
+    await next(one for one in fleet.runners if one.busy).crash()
     await asking
     await all_know(fleet)
     assert heard == [fleet.instances[0].settings.instance] * 2
--- a/tests/soak/fatal.py
+++ b/tests/soak/fatal.py
@@ -36,7 +36,7 @@
         self._ended: list[float] = []
         for number, runner in enumerate(town.runners):
             runner.fatal = self._is_fatal
-            runner.close_door = lambda one=number: self._end(one)
+            runner.stop_listening = lambda one=number: self._end(one)
 
     async def use(self, seconds: float) -> None:
         """Send for a while, then check how often it ran."""
--- a/tests/soak/town.py
+++ b/tests/soak/town.py
@@ -161,7 +161,7 @@
         proxy = FaultProxy(self._upstreams[number])
         await proxy.start()
         self.runner_proxies[number] = proxy
-        runner.ended = False
+        runner.crashed = False
         self._born_ms[number] = int(time.time() * 1000)
         self.list_runner(number, "ready")
 
