--- a/tests/gateway/test_signals.py
+++ b/tests/gateway/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at a whole process: reload, stop, and both while it starts or stops."""
+"""Signals to an instance that runs as a process: reload and stop at any time."""
 
 import asyncio
 import contextlib
@@ -97,12 +97,10 @@
 async def test_a_stop_keeps_to_the_grace_period_of_the_last_reload(
     process: Process,
 ) -> None:
-    """Else the process is killed with its requests when the shorter one is over.
+    """Guards against a kill with open requests after a shorter grace period.
 
-    Found by reading what a reload changes: the stop took the period that the process
-    had started with.
-
-    Proved by: the door below would stay open for some 25 s.
+    The stop used the grace period from the start of the process, so its listener would
+    stay open for about 25 s here.
     """
     process.configure(grace_s=3.0)
     process.send(signal.SIGHUP)
@@ -135,7 +133,7 @@
 async def test_a_stop_while_the_store_is_away_answers_whoever_calls(
     world: World, process: Process
 ) -> None:
-    """A process that knows no configuration yet stops like any other."""
+    """A process that has not read a configuration yet stops like any other."""
     world.store.refuse = 503
     other = Process(process._settings.with_name("other.toml"), world.store_address)
     other.configure(grace_s=4.0)
--- a/tests/gateway/test_starting.py
+++ b/tests/gateway/test_starting.py
@@ -1,4 +1,4 @@
-"""An instance that runs as a process, until it is ready."""
+"""The start of an instance that runs as a process."""
 
 import asyncio
 import os
@@ -12,9 +12,8 @@
 PACKAGE = b"caperridge"
 
 
-# Instances that were told to read their settings again while they started ended by the
-# signal, in a soak with restarts and reloads in series: until the parts are imported,
-# half a second or more on a loaded machine, nobody had said what the signal means.
+# Guards against a SIGHUP that kills a starting process. No handler was installed until
+# the modules were imported, which takes half a second or more on a loaded machine.
 async def test_a_reload_while_it_starts_does_not_end_it(
     world: World, tmp_path: Path
 ) -> None:
@@ -35,7 +34,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-X",
-        "importtime",  # tells of each module that has been imported
+        "importtime",  # prints each imported module
         str(ROOT / "deploy" / "instance.py"),
         env=os.environ | {"CAPERRIDGE_CONFIG": str(settings)},
         stdout=asyncio.subprocess.PIPE,
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop: not ready at once, serving until callers have left."""
+"""A planned stop: readiness ends at once, serving when callers have moved."""
 
 import asyncio
 import contextlib
@@ -16,10 +16,11 @@
 from loop_clock import LoopClock
 
 ROOT = Path(__file__).parents[2]
-# Not to be reached where the process stands still for a while.
+# Not reached even if the process stalls for a while.
 LONG_GRACE_S = 60.0
-# In so many a request comes to its runner and an event to its caller.
-TURNS_A_STEP = 100
+# Iterations of the event loop in which a request reaches its runner, and an event its
+# caller.
+ITERATIONS_PER_STEP = 100
 
 
 @pytest.mark.parametrize("grace_s", [1.0, 2.0, 3.0, 4.0, 8.0, 30.0])
@@ -27,11 +28,13 @@
     grace_s: float,
 ) -> None:
     # Guards against streams cut in a short grace period while there was time left.
-    began = 100.0
-    times = stop_times(began, grace_s)
-    assert began < times.callers_moved <= times.listener_closes
-    assert times.listener_closes < times.answers_until < times.end < began + grace_s
-    assert times.answers_until > began + grace_s * 5 / 6
+    started_at = 100.0
+    times = stop_times(started_at, grace_s)
+    assert started_at < times.callers_moved <= times.listener_closes
+    assert (
+        times.listener_closes < times.answers_until < times.end < started_at + grace_s
+    )
+    assert times.answers_until > started_at + grace_s * 5 / 6
 
 
 async def ready_status(address: str) -> int:
@@ -49,14 +52,16 @@
     instance = await world.add_instance()
     await world.ready()
     assert await ready_status(instance.settings.ready) == 200
-    clock = LoopClock(still=True, turns=TURNS_A_STEP)
+    clock = LoopClock(still=True, turns=ITERATIONS_PER_STEP)
     stopping = asyncio.ensure_future(instance.stop(8.0))
     await clock.ahead(0.1)
     assert await ready_status(instance.settings.ready) == 503
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     number = 0
-    while loop.time() - began < 3.2:  # longer than the balancer needs to move callers
+    while (
+        loop.time() - started_at < 3.2
+    ):  # longer than the balancer needs to move callers
         asking = asyncio.ensure_future(world.ask(instance, "/once/1", f"r{number}"))
         await clock.ahead_until(asking.done)
         answer = await asking
@@ -86,31 +91,31 @@
 async def test_jobs_are_handed_over_while_callers_are_still_served(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Peers go on with them while this instance waits for its callers to leave."""
+    """Peers continue the jobs while this instance waits for its callers to move."""
     await world.add_runner()
     instance = await world.add_instance()
     await world.ready()
     steps: list[str] = []
-    leave = instance.registry.deregister
+    deregister = instance.registry.deregister
     stop_accepting = instance._listeners[1].stop_accepting
 
-    async def slow_leave() -> None:
+    async def slow_deregister() -> None:
         await asyncio.sleep(0.3)
-        await leave()
+        await deregister()
         steps.append("left")
 
     async def closes() -> None:
         steps.append("closed")
         await stop_accepting()
 
-    monkeypatch.setattr(instance.registry, "deregister", slow_leave)
+    monkeypatch.setattr(instance.registry, "deregister", slow_deregister)
     monkeypatch.setattr(instance._listeners[1], "stop_accepting", closes)
     await instance.stop(8.0)
     assert steps == ["left", "closed"]
 
 
 class KeptConnection:
-    """A connection that its caller keeps for many requests, unlike the world's own."""
+    """A connection that its caller keeps for several requests, unlike the world's."""
 
     def __init__(self, instance: GatewayInstance) -> None:
         self._host, _, self._port = instance.settings.callers.rpartition(":")
@@ -126,14 +131,14 @@
         self._writer.write(head.encode())
 
     async def ended(self, within_s: float) -> bool:
-        """Whether the instance ends the connection within ``within_s``."""
+        """Whether the instance closes the connection within ``within_s``."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
                 return await self._reader.read(1) == b""
         return False
 
     async def answer(self) -> bytes:
-        """Return a whole answer, or what came of it in ten seconds."""
+        """Return an answer, or the part of it that was received in ten seconds."""
         try:
             async with asyncio.timeout(10):
                 return await self._reader.readuntil(b"\r\n0\r\n\r\n")
@@ -143,8 +148,8 @@
             return b""
 
 
-async def door_closed(instance: GatewayInstance) -> None:
-    """Wait until the instance takes no more connections."""
+async def listener_closed(instance: GatewayInstance) -> None:
+    """Wait until the instance refuses connections."""
     while True:
         connection = KeptConnection(instance)
         try:
@@ -157,23 +162,16 @@
 async def test_a_request_on_a_kept_connection_is_not_swallowed_by_a_stop(
     world: World,
 ) -> None:
-    """A stop that waits for a stream must not read other requests into nothing.
-
-    Seen: requests were sent to an instance 6.4 s after SIGTERM on connections that
-    callers had kept, were read, and 0.35 s later the connections ended unanswered.
-
-    How: callers kept sending, so the door closed when the stop's patience ended, with
-    a stream still running. Closing the door was to end the idle connections as well.
-
-    Cause: the HTTP library's ``pre_shutdown`` only marks idle connections as closing:
-    they stay open, and whatever comes on them is read and thrown away until the last
-    stream has ended and the process with it.
+    """Guards against requests that are read during a stop and never answered.
 
-    Proved by: the connection below stays open beside the stream, and its request
-    reaches no target.
+    Callers kept sending, so the listener closed with a stream still running. Requests
+    sent on kept connections 6.4 s after SIGTERM were read, and the connections closed
+    0.35 s later without an answer. The HTTP library's ``pre_shutdown`` only marks idle
+    connections as closing: they stay open, and data received on them is discarded
+    until the last stream has finished.
     """
     runner = await world.add_runner()
-    runner.events = 35  # longer than the stop's patience, shorter than its end
+    runner.events = 35  # ends after the listener closes and before the stop ends
     runner.pause_s = 0.05
     instance = await world.add_instance()
     await world.ready()
@@ -185,7 +183,7 @@
     await until(lambda: runner.busy)
     runner.events = 3
     stopping = asyncio.ensure_future(instance.stop(3.0))
-    await door_closed(instance)
+    await listener_closed(instance)
     if not await kept.ended(within_s=0.3):
         kept.send("late")
         assert runner.text("late")[-1].encode() in await kept.answer()
@@ -194,17 +192,17 @@
 
 
 async def test_a_request_taken_last_has_time_to_end(world: World) -> None:
-    """Callers that never pause keep the door open only as long as answers can end.
+    """Guards against cutting off the last requests that a stop accepted.
 
-    Seen: the slowest answer of a day with rolling restarts took 1.35 s, and a stop
-    left 1.4 s to what it had taken last; a slower one would have been cut.
+    A stop left 1.4 s to them if callers sent without a pause, while the slowest answer
+    during rolling restarts took 1.35 s; a slower one would have been cut off.
     """
     runner = await world.add_runner(slots=64)
     runner.events = 24
     runner.pause_s = 0.1
     instance = await world.add_instance()
     await world.ready()
-    clock = LoopClock(still=True, turns=TURNS_A_STEP)
+    clock = LoopClock(still=True, turns=ITERATIONS_PER_STEP)
     stopping = asyncio.ensure_future(instance.stop(6.0))
     asked: list[asyncio.Future[Answer]] = []
     while not stopping.done():
@@ -214,9 +212,9 @@
         await clock.ahead(0.3)
     answers = await asyncio.gather(*asked, return_exceptions=True)
     refused = (aiohttp.ClientConnectorError, ConnectionRefusedError)
-    taken = [answer for answer in answers if not isinstance(answer, refused)]
-    assert taken
-    for answer in taken:
+    accepted = [answer for answer in answers if not isinstance(answer, refused)]
+    assert accepted
+    for answer in accepted:
         assert isinstance(answer, Answer) and answer.whole
     assert await stopping == 0
 
@@ -240,7 +238,7 @@
 async def test_a_job_call_taken_in_a_stop_is_answered_before_its_end(
     world: World, method: str
 ) -> None:
-    """The store may be away for longer than the instance has left."""
+    """The store may be unreachable for longer than the instance has left."""
     await world.add_runner()
     instance = await world.add_instance()
     await world.ready()
@@ -263,14 +261,14 @@
     instance = await world.add_instance()
     await world.ready()
     left = asyncio.Event()
-    leave = instance.registry.deregister
+    deregister = instance.registry.deregister
 
-    async def slow_leave() -> None:
+    async def slow_deregister() -> None:
         await asyncio.sleep(0.3)
-        await leave()
+        await deregister()
         left.set()
 
-    monkeypatch.setattr(instance.registry, "deregister", slow_leave)
+    monkeypatch.setattr(instance.registry, "deregister", slow_deregister)
     await instance.stop(3.0)
     assert left.is_set()
 
@@ -278,7 +276,7 @@
 async def test_an_error_in_handing_over_cuts_nothing(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # No time but that of the answer counts, however slow this process is.
+    # The deadlines are long, so that a slow process does not affect the result.
     timeout_ms = int(LONG_GRACE_S * 1000)
     world.configure(2, [route("once", resumable=False, timeoutMs=timeout_ms)])
     runner = await world.add_runner()
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -1,7 +1,7 @@
-"""Instances whose machine was suspended: time passed that the steady clock missed.
+"""Instances on a suspended machine: time passes that the monotonic clock misses.
 
-Here the loop's clock goes ahead at once and the steady one does not, as on waking. What
-runs at targets and what the store measures is given the same time.
+The tests advance the event loop's clock at once but not the monotonic one, as on a
+resume. Targets and the store are given the same time.
 """
 
 import asyncio
@@ -22,21 +22,21 @@
 
 
 class Suspension:
-    """Suspends all that runs on the loop."""
+    """Suspends everything that runs on the event loop."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self.clock = LoopClock()
 
     async def of(self, seconds: float) -> None:
-        """Suspend for so long; the store, which goes on, counts it."""
+        """Suspend for ``seconds``; the clock of the store continues."""
         self._world.store.ahead_s += seconds
         await self.clock.pause(seconds)
 
 
 @pytest.fixture
 async def suspension(world: World) -> Suspension:
-    """Two instances and two targets, and what suspends them."""
+    """Two instances and two targets, with the means to suspend them."""
     made = Suspension(world)
     for _ in range(2):
         await world.add_runner()
@@ -48,18 +48,18 @@
 
 @pytest.fixture
 def lines(monkeypatch: pytest.MonkeyPatch) -> list[dict]:
-    """Warnings of an instance."""
-    told: list[dict] = []
+    """Warnings that instances log."""
+    warnings: list[dict] = []
     monkeypatch.setattr(
         process.log,
         "warning",
-        lambda message, **fields: told.append({"message": message} | fields),
+        lambda message, **fields: warnings.append({"message": message} | fields),
     )
-    return told
+    return warnings
 
 
 def runs_by_id(world: World) -> dict[str, int]:
-    """Return how often each request began to run."""
+    """Return how often each request was started, by id."""
     runs: dict[str, int] = {}
     for runner in world.runners:
         for run in runner.runs:
@@ -81,18 +81,18 @@
     world: World, suspension: Suspension, lines: list[dict], seconds: float
 ) -> None:
     await suspension.of(seconds)
-    told = lambda: [  # noqa: E731
+    warnings = lambda: [  # noqa: E731
         one for one in lines if one["message"] == "instance stood still"
     ]
-    await until(lambda: len(told()) == 2)
-    assert all(abs(one["suspended_s"] - seconds) < 0.2 for one in told())
+    await until(lambda: len(warnings()) == 2)
+    assert all(abs(one["suspended_s"] - seconds) < 0.2 for one in warnings())
 
 
 @pytest.mark.parametrize("seconds", SPANS_S)
 async def test_the_store_s_clock_is_right_on_waking(
     world: World, suspension: Suspension, seconds: float
 ) -> None:
-    """By it retention and due times of jobs are judged, and trials of requests."""
+    """Retention and due times of jobs and trials of requests depend on this clock."""
     (instance, _) = world.instances
     before = instance.clock.now()
     await suspension.of(seconds)
@@ -136,7 +136,7 @@
         runner.hold_head = False
     answers = await asyncio.gather(*asking)
     assert set(runs_by_id(world).values()) == {1}
-    # Callers wait for 5 s; who waits no more is told so, not that it has not run.
+    # Callers wait for 5 s. After that they get a time-out, not "not run".
     expected = {200} if seconds < 5 else {200, 504}
     assert {answer.status for answer in answers} <= expected
 
@@ -145,7 +145,7 @@
 async def test_no_target_is_given_more_time_than_its_caller_has(
     world: World, suspension: Suspension, seconds: float
 ) -> None:
-    """A stream that is moved on waking gets what is left of its caller's time."""
+    """A stream that moves after a resume gets its caller's remaining time."""
     first, second = world.runners
     for runner in (first, second):
         runner.silent_after = 2
@@ -198,7 +198,7 @@
             world.instances[number % 2], f"b{number}", ["x1", "x2"], tokens
         )
         accepted += answer.status == 202
-    # The route takes 1,000 tokens, and a job has 200.
+    # The limit of the route is 1,000 tokens, and each job has 200.
     assert accepted == 5
 
 
@@ -211,12 +211,12 @@
         runner.hold_head = True
     asking = asyncio.ensure_future(world.ask(instance, "/once/1", "r1"))
     await until(lambda: runs_by_id(world) == {"r1": 1})
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     stopping = asyncio.ensure_future(instance.stop(8.0))
     await asyncio.sleep(0.05)
     await suspension.of(seconds)
     await suspension.clock.ahead_until(stopping.done)
-    assert asyncio.get_running_loop().time() - began < max(8.0, seconds) + 1.0
+    assert asyncio.get_running_loop().time() - started_at < max(8.0, seconds) + 1.0
     answer = (await asyncio.gather(asking, return_exceptions=True))[0]
     assert isinstance(answer, Exception) or answer.status in (502, 504)
     assert runs_by_id(world) == {"r1": 1}
--- a/tests/gateway/test_zones.py
+++ b/tests/gateway/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones that were cut off a moment ago: their targets are tried last."""
+"""Availability zones that may be cut off: their targets are used last."""
 
 import random
 
@@ -16,13 +16,13 @@
 )
 
 NOW = 100.0
-LATELY = NOW - SUSPECT_AFTER_S / 2
+RECENT = NOW - SUSPECT_AFTER_S / 2
 SILENT = NOW - (SUSPECT_AFTER_S + SUSPECT_FOR_S) / 2
 LONG_AGO = NOW - SUSPECT_FOR_S - 0.1
 
 
 class Peers:
-    """Three peers in each of three zones; ``a`` is the own one."""
+    """Three peers in each of three zones; ``a`` is the own zone."""
 
     def __init__(self) -> None:
         self.zone = "a"
@@ -31,15 +31,15 @@
         for number in range(9):
             member = Member(f"e-{number}", "", "abc"[number % 3], NOW)
             member.lost_at = None
-            member.last_received_at = LATELY
+            member.last_received_at = RECENT
             self.members_by_id[member.id] = member
 
     def of(self, zone: str) -> list[Member]:
         return [one for one in self.members_by_id.values() if one.zone == zone]
 
-    def silence(self, zone: str, heard_at: float = SILENT) -> None:
+    def silence(self, zone: str, last_received_at: float = SILENT) -> None:
         for member in self.of(zone):
-            member.last_received_at = heard_at
+            member.last_received_at = last_received_at
 
 
 @pytest.fixture
@@ -67,7 +67,7 @@
 
 def test_one_peer_that_is_heard_speaks_for_its_zone(peers: Peers) -> None:
     peers.silence("b")
-    peers.of("b")[0].last_received_at = LATELY
+    peers.of("b")[0].last_received_at = RECENT
     assert silent_zones(peers, NOW) == frozenset()
 
 
@@ -83,7 +83,7 @@
 
 
 def test_peers_whose_streams_ended_are_gone_rather_than_cut_off(peers: Peers) -> None:
-    """Their zone's targets may be well; an instance that crashes takes none along."""
+    """Their zone's targets may be healthy; a crash of an instance affects none."""
     peers.silence("b")
     for member in peers.of("b"):
         member.lost_at = member.last_received_at + 0.1
@@ -108,7 +108,7 @@
 def test_where_peers_are_many_a_zone_is_silent_after_longer(
     peers: Peers, silence_s: float, zones: set[str]
 ) -> None:
-    """Its peers are heard through contacts, which pass on what they heard in turn."""
+    """Messages of its peers are relayed by contacts, which takes longer."""
     peers.large = True
     peers.silence("b", NOW - silence_s)
     assert silent_zones(peers, NOW) == zones
@@ -119,7 +119,7 @@
 ) -> None:
     peers.large = True
     peers.silence("b")
-    peers.of("b")[0].last_received_at = LATELY
+    peers.of("b")[0].last_received_at = RECENT
     assert silent_zones(peers, NOW) == frozenset()
 
 
