--- a/src/caperridge/instance/online_news.py
+++ b/src/caperridge/instance/online_news.py
@@ -101,7 +101,7 @@
             return
         self._sequence += 1
         news = OnlineNews(own_id, target, in_flight, self._sequence)
-        self._peers.send_towards(owner, news)
+        self._peers.send_or_relay(owner, news)
 
     def _tell_latency(self, load: OnlineLoad, owner: str) -> None:
         own_id = self._membership.instance
--- a/src/caperridge/instance/peer_news.py
+++ b/src/caperridge/instance/peer_news.py
@@ -46,7 +46,7 @@
         self._take_one = self._take
         for kind in (OnlineNews, LatencyNews, JobNews, TargetNews):
             peers.register(kind, self.take)
-        peers.listen(self)
+        peers.add_listener(self)
 
     def opened(self, instance: str) -> None:
         """Forget what a peer said on an earlier stream, perhaps as another process."""
--- a/src/caperridge/instance/peers.py
+++ b/src/caperridge/instance/peers.py
@@ -19,7 +19,7 @@
 from caperridge.instance.peer_metrics import PeerMetrics
 from caperridge.log import logger
 from caperridge.peers.connect import Connector
-from caperridge.peers.flooding import Seen, floods
+from caperridge.peers.flooding import SeenMessages, is_flooded
 from caperridge.peers.interface import Handler, PeerListener, Peers
 from caperridge.peers.messages import Heartbeat, Hello
 from caperridge.peers.stream import PeerStream
@@ -90,7 +90,7 @@
         self._addresses_by_id: dict[str, str] = {}
         self._unwanted_since_by_id: dict[str, float] = {}
         self._handlers_by_kind: dict[type[Record], Handler] = {}
-        self._seen = Seen()
+        self._seen = SeenMessages()
         self._demanded_until_by_id: dict[str, float] = {}
         self._heartbeat_due = 0.0
         self._repeat_due = 0.0
@@ -107,15 +107,15 @@
         """See :meth:`Peers.send`."""
         return self._streams.send(instance, message)
 
-    def send_towards(self, instance: str, message: Record) -> bool:
-        """See :meth:`Peers.send_towards`."""
+    def send_or_relay(self, instance: str, message: Record) -> bool:
+        """See :meth:`Peers.send_or_relay`."""
         if self._streams.send(instance, message):
             return True
         zone = self.zone_of(instance)
         if not zone or zone == self._settings.availability_zone:
             return False
-        self.demand(instance)
-        return self._streams.send_one_of(zone, message)
+        self.request_stream(instance)
+        return self._streams.send_to_any_in(zone, message)
 
     def send_zone(self, message: Record) -> int:
         """See :meth:`Peers.send_zone`."""
@@ -123,7 +123,7 @@
 
     def send_all(self, message: Record) -> int:
         """See :meth:`Peers.send_all`."""
-        if floods(message):
+        if is_flooded(message):
             self._seen.add(message)
         return self._streams.send_all(message)
 
@@ -135,8 +135,8 @@
         """See :meth:`Peers.connected`."""
         return sorted(self._streams.by_id)
 
-    def listen(self, listener: PeerListener) -> None:
-        """See :meth:`Peers.listen`."""
+    def add_listener(self, listener: PeerListener) -> None:
+        """See :meth:`Peers.add_listener`."""
         self._listeners.append(listener)
 
     def zone_of(self, instance: str) -> str:
@@ -146,8 +146,8 @@
             return stream.hello.availability_zone
         return self._membership.zone_of(instance)
 
-    def demand(self, instance: str) -> None:
-        """See :meth:`Peers.demand`."""
+    def request_stream(self, instance: str) -> None:
+        """See :meth:`Peers.request_stream`."""
         known = self._demanded_until_by_id
         if instance in known or len(known) < MOST_DEMANDED:
             known[instance] = self._clock() + DEMANDED_S
@@ -237,7 +237,7 @@
     async def _(self, message: Ended) -> None:
         stream = message.stream
         self._count(stream)
-        if not self._streams.drop(stream):
+        if not self._streams.discard(stream):
             return
         self._dialer.ended(stream.instance, self._clock())
         self._membership.suspect(stream.instance, self._clock())
@@ -256,10 +256,10 @@
     @singledispatchmethod
     def take(self, message: Record, stream: PeerStream) -> None:
         """Act on one message of a peer."""
-        if floods(message):
+        if is_flooded(message):
             if not self._seen.add(message):
                 return
-            self._streams.send_all(message, but=stream)
+            self._streams.send_all(message, exclude=stream)
         handler = self._handlers_by_kind.get(type(message))
         if handler is not None:
             handler(stream.instance, message)
@@ -291,7 +291,7 @@
             self._repeat_due = now + REPEAT_S
             self._forget_gone()
             for listener in self._listeners:
-                listener.regularly()
+                listener.resend_state()
         if now >= self._heartbeat_due:
             self._heartbeat_due = now + HEARTBEAT_S
             self._send_heartbeats()
@@ -389,7 +389,7 @@
 
     def _measure(self, now: float) -> None:
         for stream in self._streams:
-            stream.check(now)
+            stream.close_if_silent(now)
             self._count(stream)
         membership = self._membership
         self._metrics.connected.set(len(self._streams.by_id))
--- a/src/caperridge/instance/relay.py
+++ b/src/caperridge/instance/relay.py
@@ -68,7 +68,7 @@
         self._needed = False
         self._waiting_by_number: dict[int, Waiting] = {}
         peers.register(RelayAnswer, self.answered)
-        peers.listen(self)
+        peers.add_listener(self)
 
     async def call(self, method: str, arguments: dict[str, Any]) -> Result[Any, Any]:
         """See :meth:`RelayWay.call`."""
@@ -148,7 +148,7 @@
         if not self._needed:
             return
         for peer in self._choice.peers_to_connect(self._membership.live_by_zone()):
-            self._peers.demand(peer)
+            self._peers.request_stream(peer)
 
 
 class RelayServer:
--- a/src/caperridge/instance/wiring_peers.py
+++ b/src/caperridge/instance/wiring_peers.py
@@ -38,7 +38,7 @@
 
     mesh.configuration_version = lambda: keeper.current.version
     mesh.version_heard = version_heard
-    mesh.listen(instance.online_news)
+    mesh.add_listener(instance.online_news)
     mesh.register(
         ConfigurationNews,
         lambda peer, news: keeper.tell(ConfigurationHeard(peer, news)),
--- a/src/caperridge/measure/control_fleet.py
+++ b/src/caperridge/measure/control_fleet.py
@@ -111,7 +111,7 @@
             instance.target_reports.engine_services = {SERVICE}
             await instance.start()
             self.instances.append(instance)
-            instance.peers.listen(self)
+            instance.peers.add_listener(self)
             address = str(instance.addresses_by_listener["peers"])
             member = ListedMember(name, "instance", address, ZONE)
             self._members_by_id[name] = member
--- a/src/caperridge/measure/reads.py
+++ b/src/caperridge/measure/reads.py
@@ -113,7 +113,7 @@
         self._peers = instance.peers
         self._others = others
         self._enough = asyncio.Event()
-        self._peers.listen(self)
+        self._peers.add_listener(self)
         self.opened("")
 
     def opened(self, instance: str) -> None:
--- a/src/caperridge/peers/__init__.py
+++ b/src/caperridge/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Streams of msgpack messages between instances."""
+"""Authenticated streams of msgpack messages between instances."""
--- a/src/caperridge/peers/codec.py
+++ b/src/caperridge/peers/codec.py
@@ -1,13 +1,13 @@
-"""Turns the messages of one stream into frames, as short as the other end reads."""
+"""Encodes and decodes the frames of one stream, compactly if the peer supports it."""
 
 from caperridge.peers.compact import (
     COMPACT_PROTOCOL,
-    NamesIn,
-    NamesOut,
+    NameDecoder,
+    NameEncoder,
+    convert_names,
     is_compact,
     pack_compact,
     read_compact,
-    with_names,
 )
 from caperridge.peers.frames import encode, read_fields
 from caperridge.peers.framing import MessageError, frame
@@ -15,42 +15,42 @@
 
 
 class NamesError(Exception):
-    """The two ends no longer agree on names; the stream is of no further use."""
+    """The name tables of the two ends differ; the stream must be closed."""
 
 
 class Codec:
-    """Both directions of one stream.
+    """Codec for both directions of one stream.
 
     Args:
         own: id of the instance at this end.
-        protocol: of the other end.
+        protocol: protocol version of the other end.
     """
 
-    __slots__ = ("_compact", "_names_in", "_names_out", "_own")
+    __slots__ = ("_compact", "_name_decoder", "_name_encoder", "_own")
 
     def __init__(self, own: str, protocol: int) -> None:
         self._own = own
         self._compact = protocol >= COMPACT_PROTOCOL
-        self._names_in = NamesIn()
-        self._names_out = NamesOut()
+        self._name_decoder = NameDecoder()
+        self._name_encoder = NameEncoder()
 
     def encode(self, message: Record) -> bytes:
         """Return ``message`` as one frame.
 
         Raises:
-            MessageError: it is larger than a frame may be.
+            MessageError: it exceeds the maximum size of a frame.
         """
         if not self._compact or not is_compact(message):
             return encode(message, self._own)
-        short = with_names(message, self._names_out)
-        return frame(pack_compact(short, self._own), type(message).__name__)
+        compact = convert_names(message, self._name_encoder)
+        return frame(pack_compact(compact, self._own), type(message).__name__)
 
     def decode(self, body: bytes) -> Record | None:
-        """Return the message in the body of a frame; None if its kind is not known.
+        """Return the message in the body of a frame; None if its kind is unknown.
 
         Raises:
-            MessageError: it is no message, or lacks a field.
-            NamesError: names in it cannot be told.
+            MessageError: it is not a message, or lacks a field.
+            NamesError: a compact message is invalid, so the name tables may differ.
         """
         try:
             parts = unpack(body)
@@ -62,6 +62,6 @@
             message = read_compact(parts)
             if message is None:
                 return None
-            return with_names(message, self._names_in)
+            return convert_names(message, self._name_decoder)
         except (ValueError, TypeError, IndexError) as error:
-            raise NamesError(f"a short message: {error}") from error
+            raise NamesError(f"invalid compact message: {error}") from error
--- a/src/caperridge/peers/compact.py
+++ b/src/caperridge/peers/compact.py
@@ -1,14 +1,14 @@
-"""The short form of the messages that are sent most, and of the names in them.
+"""Compact encoding of frequent messages, with dictionary and delta coding.
 
-Since protocol 2 they are arrays of a code and the fields in a fixed order, without
-the fields at the end that have their default. Either end of a stream numbers the
-names of targets as they are first mentioned, and sends the number after that; of
-sequences it sends the step from the one before. Both count alike, as a stream loses
-nothing; one in which a message with names could not be read is closed, and the next one
-begins afresh.
+Since protocol 2 these messages are arrays of a code and the fields in a fixed order,
+without the trailing fields that have their default. Each end of a stream numbers the
+target names in order of first use and afterwards sends the number (dictionary coding);
+a sequence is sent as the difference from the previous one (delta coding). The tables of
+both ends agree because a stream loses nothing. If a message with names cannot be
+decoded, the stream is closed, and the next stream starts with empty tables.
 
-A field is only ever added at the end, and a kind only with a new protocol, as one that
-the other end skips would put its numbers out of step.
+Fields are only added at the end, and kinds only with a new protocol: if the other end
+skipped an unknown kind with names, its table would no longer agree.
 """
 
 from functools import singledispatch
@@ -25,7 +25,7 @@
 from caperridge.records import Record
 
 COMPACT_PROTOCOL = 2
-MOST_NAMES = 4096
+MAX_NAMES = 4096
 _CODES_BY_KIND: dict[type[Record], int] = {
     Heartbeat: 1,
     OnlineCounts: 2,
@@ -48,8 +48,8 @@
 }
 
 
-class NamesOut:
-    """Numbers of the names that this end has sent, and the last sequence."""
+class NameEncoder:
+    """Encodes names and sequences; holds the name table of the sending direction."""
 
     __slots__ = ("_numbers_by_name", "_sequence")
 
@@ -57,29 +57,29 @@
         self._numbers_by_name: dict[str, int] = {}
         self._sequence = 0
 
-    def step(self, sequence: int) -> int:
-        """Return the step to ``sequence`` from the one before."""
-        step = sequence - self._sequence
+    def convert_sequence(self, sequence: int) -> int:
+        """Return the difference of ``sequence`` from the previous one."""
+        difference = sequence - self._sequence
         self._sequence = sequence
-        return step
+        return difference
 
-    def name(self, name: str) -> str | int:
-        """Return the number of ``name``, or itself the first time.
+    def convert_name(self, name: str) -> str | int:
+        """Return the number of ``name``, or ``name`` itself on first use.
 
-        >>> names = NamesOut()
-        >>> names.name("runner-1"), names.name("runner-1")
+        >>> encoder = NameEncoder()
+        >>> encoder.convert_name("runner-1"), encoder.convert_name("runner-1")
         ('runner-1', 0)
         """
         number = self._numbers_by_name.get(name)
         if number is not None:
             return number
-        if len(self._numbers_by_name) < MOST_NAMES:
+        if len(self._numbers_by_name) < MAX_NAMES:
             self._numbers_by_name[name] = len(self._numbers_by_name)
         return name
 
 
-class NamesIn:
-    """The names that the other end has sent, by number, and its last sequence."""
+class NameDecoder:
+    """Decodes names and sequences; holds the name table of the receiving direction."""
 
     __slots__ = ("_known", "_names", "_sequence")
 
@@ -88,66 +88,66 @@
         self._names: list[str] = []
         self._known: set[str] = set()
 
-    def step(self, step: Any) -> int:
-        """Return the sequence to which ``step`` leads.
+    def convert_sequence(self, difference: Any) -> int:
+        """Return the sequence that is ``difference`` after the previous one.
 
         Raises:
-            ValueError: it is no number.
+            ValueError: ``difference`` is not an integer.
         """
-        if not isinstance(step, int):
-            raise ValueError(f"{step!r} is no step")
-        self._sequence += step
+        if not isinstance(difference, int):
+            raise ValueError(f"{difference!r} is not a sequence difference")
+        self._sequence += difference
         return self._sequence
 
-    def name(self, short: Any) -> str:
-        """Return the name that ``short`` stands for.
+    def convert_name(self, encoded: Any) -> str:
+        """Return the name that ``encoded``, a name or its number, denotes.
 
         Raises:
-            ValueError: it is neither a name nor the number of one.
+            ValueError: it is neither a name nor the number of a known one.
         """
-        if isinstance(short, str):
-            if short not in self._known and len(self._names) < MOST_NAMES:
-                self._known.add(short)
-                self._names.append(short)
-            return short
-        if not isinstance(short, int) or not 0 <= short < len(self._names):
-            raise ValueError(f"{short!r} is no number of a name")
-        return self._names[short]
+        if isinstance(encoded, str):
+            if encoded not in self._known and len(self._names) < MAX_NAMES:
+                self._known.add(encoded)
+                self._names.append(encoded)
+            return encoded
+        if not isinstance(encoded, int) or not 0 <= encoded < len(self._names):
+            raise ValueError(f"{encoded!r} is not the number of a name")
+        return self._names[encoded]
 
 
 @singledispatch
-def with_names(message: Record, change: NamesOut | NamesIn) -> Record:
-    """Return ``message`` with ``change`` applied to names of targets and sequences."""
+def convert_names(message: Record, converter: NameEncoder | NameDecoder) -> Record:
+    """Return ``message`` with its target names and sequences encoded or decoded."""
     return message
 
 
-@with_names.register
-def _(message: OnlineCounts, change: Any) -> Record:
-    counts = [[change.name(name), *rest] for name, *rest in message.counts]
-    # The first one has a whole sequence, the others have steps already.
+@convert_names.register
+def _(message: OnlineCounts, converter: Any) -> Record:
+    counts = [[converter.convert_name(name), *rest] for name, *rest in message.counts]
+    # Only the first sequence is absolute; the others are differences already.
     if counts:
-        counts[0][2] = change.step(counts[0][2])
+        counts[0][2] = converter.convert_sequence(counts[0][2])
     return OnlineCounts(counts, message.instance)
 
 
-@with_names.register
-def _(message: LoadNews, change: Any) -> Record:
-    loads = [[change.name(name), *rest] for name, *rest in message.loads]
+@convert_names.register
+def _(message: LoadNews, converter: Any) -> Record:
+    loads = [[converter.convert_name(name), *rest] for name, *rest in message.loads]
     return LoadNews(message.instance, loads)
 
 
-@with_names.register
-def _(message: LatencyNews, change: Any) -> Record:
-    return message.replace(target=change.name(message.target))
+@convert_names.register
+def _(message: LatencyNews, converter: Any) -> Record:
+    return message.replace(target=converter.convert_name(message.target))
 
 
 def is_compact(message: Record) -> bool:
-    """Return whether there is a short form of ``message``."""
+    """Return whether ``message`` has a compact form."""
     return type(message) in _CODES_BY_KIND
 
 
 def pack_compact(message: Record, own: str) -> bytes:
-    """Return the body of the frame for ``message``, which the instance ``own`` sends.
+    """Return the frame body of ``message``, sent by the instance ``own``.
 
     >>> pack_compact(LatencyNews("e-1", "r-1"), "e-1").hex(" ")
     '92 03 a3 72 2d 31'
@@ -159,12 +159,12 @@
         values[-1] = ""
     while values and not values[-1]:
         values.pop()
-    # What is measured need not be exact to more than seven digits.
+    # Seven digits, the precision of single floats, suffice for measured values.
     return msgpack.packb([_CODES_BY_KIND[kind], *values], use_single_float=True)
 
 
 def read_compact(parts: list[Any]) -> Record | None:
-    """Return the message of an unpacked body; None if its code is not known.
+    """Return the message of an unpacked body; None if its code is unknown.
 
     Raises:
         TypeError: a field without a default is missing.
--- a/src/caperridge/peers/connect.py
+++ b/src/caperridge/peers/connect.py
@@ -1,4 +1,4 @@
-"""Opening streams: as a dialer or as a listener, with TLS if there are files for it."""
+"""Opens authenticated streams as dialer or listener, with mutual TLS if configured."""
 
 import asyncio
 import ssl
@@ -13,99 +13,104 @@
 from caperridge.tls import TlsFiles, peer_context
 
 log = logger(__name__)
-CONNECT_S = 3.0
-HANDSHAKE_S = 3.0
-MOST_HANDSHAKES = 64
+CONNECT_TIMEOUT_S = 3.0
+HANDSHAKE_TIMEOUT_S = 3.0
+MAX_HANDSHAKES = 64
 READ_AHEAD_BYTES = 64 * 2**10
 
-Received = Callable[[PeerStream, Record], None]
+MessageHandler = Callable[[PeerStream, Record], None]
 
 
 class Connector:
-    """Opens streams on behalf of one instance.
+    """Dials and accepts the streams of one instance.
 
     Args:
-        secret: shared by all instances.
+        secret: secret that all instances share.
         tls: files for both directions; None for no TLS.
-        own_to: the own hello to the instance of that id (empty: not known).
-        received: told of each message of each stream.
-        opened: told of each stream that a peer has opened here.
+        own_hello_for: returns this instance's hello to the instance of that id (empty
+            if the id is unknown).
+        on_message: called for each message of each stream.
+        on_opened: called for each stream that a peer has opened to this instance.
     """
 
     def __init__(
         self,
         secret: str,
         tls: TlsFiles | None,
-        own_to: Callable[[str], Hello],
-        received: Received,
-        opened: Callable[[PeerStream], None],
+        own_hello_for: Callable[[str], Hello],
+        on_message: MessageHandler,
+        on_opened: Callable[[PeerStream], None],
     ) -> None:
         self.refused = 0
         self._secret = secret
         self._tls = tls
-        self._own_to = own_to
-        self._received = received
-        self._opened = opened
+        self._own_hello_for = own_hello_for
+        self._on_message = on_message
+        self._on_opened = on_opened
         self._handshakes = 0
         self._server: asyncio.Server | None = None
 
-    async def open(self, at: Address) -> Address:
-        """Listen; return where."""
+    async def open(self, address: Address) -> Address:
+        """Start listening; return the bound address."""
         context = self._context(ssl.Purpose.CLIENT_AUTH)
         self._server = await asyncio.start_server(
-            self._accept, at.host, at.port, ssl=context, limit=READ_AHEAD_BYTES
+            self._accept,
+            address.host,
+            address.port,
+            ssl=context,
+            limit=READ_AHEAD_BYTES,
         )
         host, port = self._server.sockets[0].getsockname()[:2]
         return Address(host, port)
 
     def close(self) -> None:
-        """Stop listening; streams that are open stay."""
+        """Stop listening; open streams stay open."""
         if self._server is not None:
             self._server.close()
 
-    async def dial(self, to: Address, instance: str = "") -> PeerStream:
-        """Return a stream to the instance that listens there.
+    async def dial(self, address: Address, instance: str = "") -> PeerStream:
+        """Open and return a stream to the instance that listens at ``address``.
 
         Args:
-            to: its listener for peers.
-            instance: whom to expect; empty for anyone.
+            address: address of the peer listener.
+            instance: expected id of the peer; empty to accept any.
 
         Raises:
-            OSError: it was not reached, in time.
-            HandshakeError: it did not prove itself, or is another one.
+            OSError: the connection failed, or it or the handshake timed out.
+            HandshakeError: the peer failed to authenticate, or has another id.
         """
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(
-                to.host,
-                to.port,
+                address.host,
+                address.port,
                 ssl=self._context(ssl.Purpose.SERVER_AUTH),
                 limit=READ_AHEAD_BYTES,
             )
         try:
-            async with asyncio.timeout(HANDSHAKE_S):
-                own = self._own_to(instance)
-                said = await handshake.dial(reader, writer, own, self._secret)
-            if instance and said.instance != instance:
-                raise handshake.HandshakeError(f"{said.instance} answered")
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+                own = self._own_hello_for(instance)
+                peer = await handshake.dial(reader, writer, own, self._secret)
+            if instance and peer.instance != instance:
+                raise handshake.HandshakeError(f"{peer.instance} answered")
         except asyncio.IncompleteReadError as error:
             writer.close()
             raise handshake.HandshakeError("it hung up on the hello") from error
         except BaseException:
             writer.close()
             raise
-        return PeerStream(reader, writer, said, True, self._received, own.instance)
+        return PeerStream(reader, writer, peer, True, self._on_message, own.instance)
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._handshakes >= MOST_HANDSHAKES:
+        if self._handshakes >= MAX_HANDSHAKES:
             writer.close()
             return
         self._handshakes += 1
         try:
-            async with asyncio.timeout(HANDSHAKE_S):
-                said = await handshake.listen(
-                    reader, writer, self._own_to, self._secret
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+                peer = await handshake.listen(
+                    reader, writer, self._own_hello_for, self._secret
                 )
         except (handshake.HandshakeError, TimeoutError, EOFError, OSError) as error:
             self.refused += 1
@@ -116,8 +121,8 @@
             return
         finally:
             self._handshakes -= 1
-        own = self._own_to(said.instance).instance
-        self._opened(PeerStream(reader, writer, said, False, self._received, own))
+        own = self._own_hello_for(peer.instance).instance
+        self._on_opened(PeerStream(reader, writer, peer, False, self._on_message, own))
 
     def _context(self, purpose: ssl.Purpose) -> ssl.SSLContext | None:
         return None if self._tls is None else peer_context(self._tls, purpose)
--- a/src/caperridge/peers/flooding.py
+++ b/src/caperridge/peers/flooding.py
@@ -1,4 +1,4 @@
-"""News that everybody should hear: passed on by whoever hears it for the first time."""
+"""Flooding: messages that each instance forwards to its peers on first receipt."""
 
 from collections import OrderedDict
 from functools import singledispatch
@@ -7,56 +7,56 @@
 from caperridge.peers.messages import JobNews, TargetNews
 from caperridge.records import Record
 
-MOST_SEEN = 5000
+MAX_SEEN_MESSAGES = 5000
 
 
 @singledispatch
-def floods(message: Record) -> bool:
-    """Return whether whoever hears ``message`` first passes it on."""
+def is_flooded(message: Record) -> bool:
+    """Return whether a receiver forwards ``message`` to all its peers."""
     return False
 
 
-@floods.register
+@is_flooded.register
 def _(message: JobNews) -> bool:
     return True
 
 
-@floods.register
+@is_flooded.register
 def _(message: TargetNews) -> bool:
     return True
 
 
-@floods.register
+@is_flooded.register
 def _(message: EndNews) -> bool:
     return True
 
 
-@floods.register
+@is_flooded.register
 def _(message: SoundNews) -> bool:
     return True
 
 
-class Seen:
-    """The news seen last; the oldest is forgotten first.
+class SeenMessages:
+    """The most recent flooded messages, for dropping duplicates; bounded, oldest out.
 
-    >>> seen = Seen(most=1)
+    >>> seen = SeenMessages(max_messages=1)
     >>> seen.add(JobNews("j", "open")), seen.add(JobNews("j", "open"))
     (True, False)
     >>> seen.add(JobNews("k", "open")), seen.add(JobNews("j", "open"))
     (True, True)
     """
 
-    __slots__ = ("_messages", "_most")
+    __slots__ = ("_max_messages", "_messages")
 
-    def __init__(self, most: int = MOST_SEEN) -> None:
+    def __init__(self, max_messages: int = MAX_SEEN_MESSAGES) -> None:
         self._messages: OrderedDict[Record, None] = OrderedDict()
-        self._most = most
+        self._max_messages = max_messages
 
     def add(self, message: Record) -> bool:
-        """Return whether ``message`` is seen for the first time."""
+        """Add ``message``; return False if it was there already."""
         if message in self._messages:
             return False
         self._messages[message] = None
-        if len(self._messages) > self._most:
+        if len(self._messages) > self._max_messages:
             self._messages.popitem(last=False)
         return True
--- a/src/caperridge/peers/frames.py
+++ b/src/caperridge/peers/frames.py
@@ -1,6 +1,7 @@
-"""Messages as frames, see :mod:`caperridge.peers.framing`, of one msgpack map each.
+"""Encodes messages as frames that hold one msgpack map each.
 
-Some have a shorter form, see :mod:`caperridge.peers.compact`.
+:mod:`caperridge.peers.framing` defines the frames, and
+:mod:`caperridge.peers.compact` a shorter encoding of frequent messages.
 """
 
 import functools
@@ -11,27 +12,27 @@
 from caperridge.peers.messages import KINDS_BY_NAME
 from caperridge.records import Record, pack, unpack
 
-MOST_HELLO_BYTES = 4096
-_KIND = "is"
-SPEAKER = "instance"
+MAX_HELLO_BYTES = 4096
+_KIND_FIELD = "is"
+SENDER_FIELD = "instance"
 
 
 def encode(message: Record, own: str = "") -> bytes:
-    """Return ``message`` as one frame, without the fields that have their default.
+    """Return ``message`` as one frame, without fields that equal their default.
 
     Args:
-        message: what is sent.
-        own: id of the instance that sends it; the hello of the stream has said it, so
-            a message of its own does not.
+        message: the message to send.
+        own: id of the sending instance. The hello of the stream carries it already, so
+            it is omitted from messages of this instance.
 
     Raises:
-        MessageError: it is larger than a frame may be.
+        MessageError: it exceeds the maximum size of a frame.
     """
-    fields: dict[str, Any] = {_KIND: type(message).__name__}
+    fields: dict[str, Any] = {_KIND_FIELD: type(message).__name__}
     defaults = _defaults(type(message))
     for name in message.__slots__:
         value = getattr(message, name)
-        if name == SPEAKER and value == own:
+        if name == SENDER_FIELD and value == own:
             value = ""
         if name not in defaults or defaults[name] != value:
             fields[name] = value
@@ -40,20 +41,20 @@
 
 @functools.cache
 def _defaults(kind: type[Record]) -> dict[str, Any]:
-    """Return the fields that a constructor without them would set, as it sets them."""
+    """Return the optional fields with the values that the constructor sets."""
     parameters = inspect.signature(kind).parameters.values()
-    needed = [p.name for p in parameters if p.default is inspect.Parameter.empty]
-    sample = kind(**dict.fromkeys(needed))
+    required = [p.name for p in parameters if p.default is inspect.Parameter.empty]
+    sample = kind(**dict.fromkeys(required))
     return {
-        name: getattr(sample, name) for name in kind.__slots__ if name not in needed
+        name: getattr(sample, name) for name in kind.__slots__ if name not in required
     }
 
 
 def decode(body: bytes) -> Record | None:
-    """Return the message in the body of a frame; None if its kind is not known.
+    """Return the message in the body of a frame; None if its kind is unknown.
 
     Raises:
-        MessageError: it is no message, or lacks a field.
+        MessageError: it is not a message, or lacks a field.
     """
     try:
         fields: Any = unpack(body)
@@ -63,17 +64,17 @@
 
 
 def read_fields(fields: Any) -> Record | None:
-    """Return the message of an unpacked body; None if its kind is not known.
+    """Return the message of an unpacked body; None if its kind is unknown.
 
     Raises:
-        MessageError: it is no message, or lacks a field.
+        MessageError: it is not a message, or lacks a field.
     """
-    if not isinstance(fields, dict) or not isinstance(fields.get(_KIND), str):
+    if not isinstance(fields, dict) or not isinstance(fields.get(_KIND_FIELD), str):
         raise MessageError("a frame holds no map with a kind")
-    kind = KINDS_BY_NAME.get(fields[_KIND])
+    kind = KINDS_BY_NAME.get(fields[_KIND_FIELD])
     if kind is None:
         return None
     try:
         return kind.from_map(fields)
     except TypeError as error:
-        raise MessageError(f"{fields[_KIND]}: {error}") from error
+        raise MessageError(f"{fields[_KIND_FIELD]}: {error}") from error
--- a/src/caperridge/peers/handshake.py
+++ b/src/caperridge/peers/handshake.py
@@ -1,9 +1,9 @@
-"""Both ends of a stream prove that they know the shared secret.
+"""Mutual challenge-response authentication of a stream with a shared secret.
 
-The dialer says hello with a nonce; the listener answers with a nonce of its own and a
-proof; the dialer says hello again, with its proof. A proof is an HMAC over the role
-and both hellos, so that neither a recorded nor a reflected one is of use. What comes
-later is protected only where TLS is on.
+The dialer sends a hello with a nonce; the listener answers with a nonce of its own and
+a proof; the dialer repeats its hello with its proof. A proof is an HMAC over the role
+and both hellos, which prevents replay and reflection. The messages after the handshake
+are protected only if TLS is enabled.
 """
 
 import asyncio
@@ -12,29 +12,29 @@
 import secrets
 from collections.abc import Callable
 
-from caperridge.peers.frames import MOST_HELLO_BYTES, decode, encode
+from caperridge.peers.frames import MAX_HELLO_BYTES, decode, encode
 from caperridge.peers.framing import FrameError, MessageError, read_body
 from caperridge.peers.messages import Hello
 from caperridge.records import pack
 
 NONCE_BYTES = 16
-OLDEST_PROTOCOL = 1
+MIN_PROTOCOL = 1
 DIALER = "dialer"
 LISTENER = "listener"
 
 
 class HandshakeError(Exception):
-    """The other end proved nothing, or cannot be understood."""
+    """The other end failed to authenticate, or its protocol is not supported."""
 
 
-def prove(secret: str, role: str, own: Hello, other: Hello) -> bytes:
-    """Return the proof of the end with ``role``, which said ``own``."""
-    said = [role, _identity(own), _identity(other)]
-    return hmac.new(secret.encode(), pack(said), hashlib.sha256).digest()
+def compute_proof(secret: str, role: str, own: Hello, other: Hello) -> bytes:
+    """Return the proof of the end that has ``role`` and sent the hello ``own``."""
+    covered = [role, _identity(own), _identity(other)]
+    return hmac.new(secret.encode(), pack(covered), hashlib.sha256).digest()
 
 
 def _identity(hello: Hello) -> list[object]:
-    """Return what a proof covers: all that the receiver relies on."""
+    """Return the fields that a proof covers: all that the receiver relies on."""
     return [
         hello.instance,
         hello.availability_zone,
@@ -46,23 +46,26 @@
     ]
 
 
-def check(secret: str, role: str, said: Hello, proof: bytes, own: Hello) -> None:
-    """Check the proof of the other end, which has ``role`` and said ``said``.
+def verify_proof(
+    secret: str, role: str, other: Hello, proof: bytes, own: Hello
+) -> None:
+    """Verify the proof of the end that has ``role`` and sent the hello ``other``.
 
     Raises:
-        HandshakeError: it does not know the secret, or speaks another protocol.
+        HandshakeError: the proof is wrong, the protocol is not supported, the nonce is
+            too short, or the other end is this instance.
     """
-    if said.protocol < OLDEST_PROTOCOL:
-        raise HandshakeError(f"protocol {said.protocol} is too old")
-    if len(said.nonce) < NONCE_BYTES:
+    if other.protocol < MIN_PROTOCOL:
+        raise HandshakeError(f"protocol {other.protocol} is too old")
+    if len(other.nonce) < NONCE_BYTES:
         raise HandshakeError("the nonce is too short")
-    if said.instance == own.instance and said.incarnation == own.incarnation:
+    if other.instance == own.instance and other.incarnation == own.incarnation:
         raise HandshakeError("the other end is this instance itself")
-    if not hmac.compare_digest(proof, prove(secret, role, said, own)):
+    if not hmac.compare_digest(proof, compute_proof(secret, role, other, own)):
         raise HandshakeError("the proof is wrong: another secret?")
 
 
-def fresh(own: Hello) -> Hello:
+def with_new_nonce(own: Hello) -> Hello:
     """Return ``own`` with a new nonce and without a proof."""
     return own.replace(nonce=secrets.token_bytes(NONCE_BYTES), proof=b"")
 
@@ -73,62 +76,62 @@
     own: Hello,
     secret: str,
 ) -> Hello:
-    """Open a stream as its dialer; return what the listener said.
+    """Perform the handshake as dialer; return the hello of the listener.
 
     Raises:
-        HandshakeError: the listener did not prove itself.
+        HandshakeError: the listener failed to authenticate.
     """
-    own = fresh(own)
+    own = with_new_nonce(own)
     writer.write(encode(own))
-    said = await _read(reader)
-    check(secret, LISTENER, said, said.proof, own)
-    writer.write(encode(own.replace(proof=prove(secret, DIALER, own, said))))
+    other = await _read(reader)
+    verify_proof(secret, LISTENER, other, other.proof, own)
+    writer.write(encode(own.replace(proof=compute_proof(secret, DIALER, own, other))))
     await writer.drain()
-    return said
+    return other
 
 
 async def listen(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
-    own_to: Callable[[str], Hello],
+    own_hello_for: Callable[[str], Hello],
     secret: str,
 ) -> Hello:
-    """Open a stream as its listener; return what the dialer said.
+    """Perform the handshake as listener; return the hello of the dialer.
 
     Args:
-        reader: of the connection.
-        writer: of the connection.
-        own_to: the own hello to the instance of that id.
-        secret: shared by all instances.
+        reader: reader of the connection.
+        writer: writer of the connection.
+        own_hello_for: returns this instance's hello to the instance of that id.
+        secret: secret that all instances share.
 
     Raises:
-        HandshakeError: the dialer did not prove itself.
+        HandshakeError: the dialer failed to authenticate.
     """
-    said = await _read(reader)
-    own = fresh(own_to(said.instance))
-    writer.write(encode(own.replace(proof=prove(secret, LISTENER, own, said))))
+    other = await _read(reader)
+    own = with_new_nonce(own_hello_for(other.instance))
+    writer.write(encode(own.replace(proof=compute_proof(secret, LISTENER, own, other))))
     await writer.drain()
-    proven = await _read(reader)
-    check(secret, DIALER, said, proven.proof, own)
-    return said
+    final = await _read(reader)
+    verify_proof(secret, DIALER, other, final.proof, own)
+    return other
 
 
 async def _read(reader: asyncio.StreamReader) -> Hello:
     try:
-        message = decode(await read_body(reader, MOST_HELLO_BYTES))
+        message = decode(await read_body(reader, MAX_HELLO_BYTES))
     except (FrameError, MessageError) as error:
         raise HandshakeError(str(error)) from error
-    if not isinstance(message, Hello) or not _plausible(message):
+    if not isinstance(message, Hello) or not _has_valid_types(message):
         raise HandshakeError("the stream does not begin with a hello")
     return message
 
 
-def _plausible(hello: Hello) -> bool:
+def _has_valid_types(hello: Hello) -> bool:
     texts = (hello.instance, hello.availability_zone, hello.release)
     numbers = (hello.incarnation, hello.protocol, hello.port, hello.known_incarnation)
-    blobs = (hello.nonce, hello.proof)
+    byte_strings = (hello.nonce, hello.proof)
     return (
         all(isinstance(text, str) for text in texts)
         and all(isinstance(number, int) for number in numbers)
-        and all(isinstance(blob, bytes) for blob in blobs)
+        and all(isinstance(data, bytes) for data in byte_strings)
     )
--- a/src/caperridge/peers/held_messages.py
+++ b/src/caperridge/peers/held_messages.py
@@ -1,23 +1,23 @@
-"""What instances tell each other of requests that end targets.
+"""Messages about requests that crash targets, from which instances quarantine them.
 
-Both are passed on by whoever hears them for the first time; ``said_at`` tells one from
-the next of the same.
+Both kinds are flooded: each instance forwards them on first receipt. ``said_at``
+distinguishes consecutive messages with the same content.
 """
 
 from caperridge.records import Record
 
 
 class EndNews(Record):
-    """A target ended, and a request was lost with it.
+    """A target crashed, and a request that ran there was lost.
 
     Attributes:
-        instance: that saw it.
-        target: its id.
-        content: digest of what was asked for.
-        caller: who asked.
-        age_s: how long it had been there, in seconds.
-        events: that it had made there.
-        said_at: on the clock of ``instance``.
+        instance: id of the instance that observed the crash.
+        target: id of the target.
+        content: digest of the request's content.
+        caller: caller of the request.
+        age_s: how long the request had been at the target, in seconds.
+        events: number of events that the request had produced there.
+        said_at: time of sending, on the clock of ``instance``.
     """
 
     __slots__ = (
@@ -50,14 +50,14 @@
 
 
 class SoundNews(Record):
-    """A request ended well.
+    """A request completed, which exonerates it.
 
     Attributes:
-        instance: where.
-        content: digest of what was asked for.
-        caller: who asked.
-        ago_s: how long ago, in seconds.
-        said_at: on the clock of ``instance``.
+        instance: id of the instance that observed it.
+        content: digest of the request's content.
+        caller: caller of the request.
+        ago_s: how long ago it completed, in seconds.
+        said_at: time of sending, on the clock of ``instance``.
     """
 
     __slots__ = ("ago_s", "caller", "content", "instance", "said_at")
--- a/src/caperridge/peers/interface.py
+++ b/src/caperridge/peers/interface.py
@@ -1,4 +1,4 @@
-"""What the rest of an instance sees of its peers: sending, and being told."""
+"""Interface to the peers of an instance: best-effort sending and notifications."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -9,84 +9,85 @@
 
 
 class PeerListener:
-    """Is told of changes among the peers; what it does not override is nothing."""
+    """Is notified of changes among the peers; each method does nothing by default."""
 
     def opened(self, instance: str) -> None:
-        """A stream to ``instance`` was opened, maybe again."""
+        """A stream to ``instance`` was opened, perhaps not the first one."""
 
     def closed(self, instance: str) -> None:
-        """There is no stream to ``instance`` any more; it may well live."""
+        """The stream to ``instance`` was closed; the instance may still be live."""
 
     def removed(self, instance: str) -> None:
-        """``instance`` was removed after a suspicion that nothing refuted."""
+        """``instance`` was removed, as a suspicion against it was not refuted."""
 
     def view_changed(self) -> None:
-        """Other instances count as live than before, so owners may have moved."""
+        """The set of live instances changed, so owners may have changed."""
 
-    def regularly(self) -> None:
-        """Some seconds have passed: repeat what may have been lost."""
+    def resend_state(self) -> None:
+        """Resend state that may have been lost; called every few seconds."""
 
 
 class Peers(ABC):
-    """Best-effort sending: news may be lost, late or doubled, never garbled."""
+    """Best-effort sending: messages may be lost, late or doubled, never corrupted."""
 
     @abstractmethod
     def send(self, instance: str, message: Record) -> bool:
         """Queue ``message`` for one peer; False if there is no stream to it."""
 
     @abstractmethod
-    def send_towards(self, instance: str, message: Record) -> bool:
+    def send_or_relay(self, instance: str, message: Record) -> bool:
         """Queue ``message`` for a peer or, without a stream to it, one in its zone.
 
-        There, whoever gets it passes it on if it concerns another one. A stream to
-        ``instance`` is opened for the next message.
+        The receiver in that zone forwards it if it is meant for another instance. A
+        stream to ``instance`` is requested for later messages.
         """
 
     @abstractmethod
     def send_zone(self, message: Record) -> int:
-        """Queue ``message`` for every peer of the own zone; return how many."""
+        """Queue ``message`` for every peer in this zone; return their number."""
 
     @abstractmethod
     def send_all(self, message: Record) -> int:
-        """Queue ``message`` for every connected peer; return how many.
+        """Queue ``message`` for every connected peer; return their number.
 
-        News of jobs and targets is passed on by those who hear it for the first time,
-        so it reaches every instance that can be reached at all.
+        Messages about jobs and targets are flooded: receivers forward them on first
+        receipt, so they get to every reachable instance.
         """
 
     @abstractmethod
     def register(self, kind: type[Record], handler: Handler) -> None:
-        """Have ``handler`` told of each message of ``kind``, with its sender's id.
+        """Call ``handler`` with the sender's id and each message of ``kind``.
 
-        It is called on the loop and must not block; a task's ``tell`` does for most.
+        It is called on the event loop and must not block; most handlers only queue the
+        message with a task's ``tell``.
         """
 
     @abstractmethod
-    def listen(self, listener: PeerListener) -> None:
-        """Have ``listener`` told of changes among the peers."""
+    def add_listener(self, listener: PeerListener) -> None:
+        """Notify ``listener`` of changes among the peers."""
 
     @abstractmethod
     def connected(self) -> list[str]:
-        """Return the ids of the peers that there is a stream to, sorted."""
+        """Return the sorted ids of the peers that have an open stream."""
 
     @abstractmethod
     def zone_of(self, instance: str) -> str:
-        """Return where a peer runs; empty if that is not known."""
+        """Return the availability zone of a peer; empty if unknown."""
 
     @abstractmethod
-    def demand(self, instance: str) -> None:
-        """Have a stream to ``instance`` for a while, beside those kept anyway."""
+    def request_stream(self, instance: str) -> None:
+        """Keep a stream to ``instance`` for a while, besides the regular ones."""
 
 
 class NoPeers(Peers):
-    """An instance on its own."""
+    """Implementation for an instance without peers."""
 
     def send(self, instance: str, message: Record) -> bool:
         """See :meth:`Peers.send`."""
         return False
 
-    def send_towards(self, instance: str, message: Record) -> bool:
-        """See :meth:`Peers.send_towards`."""
+    def send_or_relay(self, instance: str, message: Record) -> bool:
+        """See :meth:`Peers.send_or_relay`."""
         return False
 
     def send_zone(self, message: Record) -> int:
@@ -100,8 +101,8 @@
     def register(self, kind: type[Record], handler: Handler) -> None:
         """See :meth:`Peers.register`."""
 
-    def listen(self, listener: PeerListener) -> None:
-        """See :meth:`Peers.listen`."""
+    def add_listener(self, listener: PeerListener) -> None:
+        """See :meth:`Peers.add_listener`."""
 
     def connected(self) -> list[str]:
         """See :meth:`Peers.connected`."""
@@ -111,5 +112,5 @@
         """See :meth:`Peers.zone_of`."""
         return ""
 
-    def demand(self, instance: str) -> None:
-        """See :meth:`Peers.demand`."""
+    def request_stream(self, instance: str) -> None:
+        """See :meth:`Peers.request_stream`."""
--- a/src/caperridge/peers/messages.py
+++ b/src/caperridge/peers/messages.py
@@ -1,9 +1,9 @@
-"""The messages between instances.
+"""Message types of the protocol between instances.
 
-Each is a record, sent as a msgpack map with its kind under ``is``. A field that a
-release adds has a default, and a kind that a release does not know is skipped, so
-that two releases run side by side. A field with its default is not sent, nor is
-``instance`` where it names the sender.
+Each message is a record, sent as a msgpack map with its kind under ``is``. So that two
+releases can run side by side, fields added by a release have a default, and unknown
+kinds are skipped. Fields that equal their default are not sent, nor is ``instance``
+where it names the sender.
 """
 
 from typing import Any
@@ -11,22 +11,23 @@
 from caperridge.peers.held_messages import EndNews, SoundNews
 from caperridge.records import Record
 
-PROTOCOL = 2  # since 2 some kinds have a short form
+PROTOCOL = 2  # since 2 some kinds have a compact form
 
 
 class Hello(Record):
-    """Opens a stream in each direction; see :mod:`caperridge.peers.handshake`.
+    """First message in each direction; see :mod:`caperridge.peers.handshake`.
 
     Attributes:
-        instance: who says hello.
-        availability_zone: where it runs.
-        incarnation: raised with each start of an instance of that id.
-        nonce: fresh for each stream; the other's proof must cover it.
-        proof: that the sender knows the secret; empty in the first of three.
-        protocol: of the messages.
-        release: of the program.
-        port: of the sender's own listener for peers.
-        known_incarnation: the highest of the addressee that the sender knows.
+        instance: id of the sender.
+        availability_zone: availability zone of the sender.
+        incarnation: increases with each start of an instance of that id.
+        nonce: new for each stream; the other end's proof must cover it.
+        proof: proof that the sender knows the secret; empty in the first of the three
+            hellos of a handshake.
+        protocol: protocol version of the messages.
+        release: version of the program.
+        port: port of the sender's peer listener.
+        known_incarnation: highest incarnation of the receiver that the sender knows.
     """
 
     __slots__ = (
@@ -65,16 +66,16 @@
 
 
 class Heartbeat(Record):
-    """The sender lives; what it says of others is ``rumours``.
+    """Heartbeat of the sender, with gossip about other instances.
 
     Attributes:
-        instance: the sender.
-        incarnation: raised with each start of an instance of that id; 0: as in the
-            hello.
-        sequence: raised with each heartbeat.
-        configuration_version: in force at the sender.
-        leaving: the sender is stopping as planned.
-        rumours: ``[instance, incarnation, state, sequence]`` of others.
+        instance: id of the sender.
+        incarnation: increases with each start of an instance of that id; 0 means that
+            of the hello.
+        sequence: increases with each heartbeat.
+        configuration_version: version in force at the sender.
+        leaving: whether the sender is shutting down as planned.
+        rumours: ``[instance, incarnation, state, sequence]`` of other instances.
     """
 
     __slots__ = (
@@ -104,9 +105,9 @@
 
 
 class OnlineNews(Record):
-    """How many online requests the sender has in flight at a target now.
+    """Number of online requests that an instance has in flight at a target.
 
-    ``sequence`` rises with each news of the sender; an older one is ignored.
+    ``sequence`` increases with each update of that instance; older ones are ignored.
     """
 
     __slots__ = ("in_flight", "instance", "sequence", "target")
@@ -121,12 +122,12 @@
 
 
 class OnlineCounts(Record):
-    """Several :class:`OnlineNews` of one sender in one message.
+    """Several :class:`OnlineNews` of one instance in one message.
 
     Attributes:
-        counts: ``[target, in_flight, sequence]`` of each; the sequence is given as the
-            difference from that of the one before.
-        instance: whose requests they are; empty for the sender's.
+        counts: ``[target, in_flight, sequence]`` of each; the sequence is the
+            difference from the previous one.
+        instance: instance whose requests are counted; empty for the sender.
     """
 
     __slots__ = ("counts", "instance")
@@ -137,7 +138,7 @@
 
 
 class LatencyNews(Record):
-    """What the sender's online callers saw at a target, for the batch dispatcher."""
+    """Latency of the sender's online requests at a target, for the batch dispatcher."""
 
     __slots__ = ("between_tokens_s", "first_token_s", "instance", "target")
 
@@ -155,12 +156,13 @@
 
 
 class LoadNews(Record):
-    """What the sender, who looks after these targets, knows of their load.
+    """Load of the targets that the sender owns.
 
     Attributes:
-        instance: the sender.
-        loads: ``[target, incarnation, waiting, online]`` each: the sequences that
-            wait inside it, and the online requests of all instances there.
+        instance: id of the sender.
+        loads: ``[target, incarnation, waiting, online]`` of each target: ``waiting`` is
+            the number of sequences queued inside it, ``online`` that of the online
+            requests of all instances there.
     """
 
     __slots__ = ("instance", "loads")
@@ -173,7 +175,7 @@
 
 
 class JobNews(Record):
-    """A job was accepted, cancelled or ended; ``state`` as in its row."""
+    """A job was accepted, cancelled or finished; ``state`` is that of its row."""
 
     __slots__ = ("job", "state")
 
@@ -183,15 +185,15 @@
 
 
 class JobsRead(Record):
-    """What the zone's reader found in the row of job changes, or that nothing changed.
+    """Job changes that the reader of the zone found in their row; maybe none.
 
     Attributes:
-        number: of the newest change.
-        base: number of the last change before ``changes``; higher than what the
-            receiver knows is a gap.
-        changes: ``[subject, state]`` of each, at most as many as the row keeps.
-        jobs: the jobs that were found open, as maps; some may be left out.
-        digest: of the ids of all open jobs at ``number``; 0 for none.
+        number: number of the newest change.
+        base: number of the last change before ``changes``; if it is higher than the
+            last one that the receiver knows, changes are missing.
+        changes: ``[subject, state]`` of each, at most as many as the row holds.
+        jobs: open jobs that were read, as maps; may be incomplete.
+        digest: digest of the ids of all open jobs at ``number``; 0 for none.
     """
 
     __slots__ = ("base", "changes", "digest", "jobs", "number")
@@ -212,13 +214,13 @@
 
 
 class SessionsWatched(Record):
-    """The sender looked at all sessions and watches them for its zone."""
+    """The sender has checked all sessions and watches them for its zone."""
 
     __slots__ = ()
 
 
 class TargetNews(Record):
-    """A target said that it is leaving, or failed at the sender."""
+    """A target reported that it is leaving, or failed at the sender."""
 
     __slots__ = ("incarnation", "leaving", "target")
 
@@ -229,14 +231,16 @@
 
 
 class LoadedNews(Record):
-    """What a target holds, from its orderer; older than ``fence, sequence``: ignored.
+    """What a target has loaded, as reported by its orderer.
+
+    The highest pair of ``fence`` and ``sequence`` wins; older messages are ignored.
 
     Attributes:
-        target: which one.
-        fence: number of the orderer.
-        sequence: raised with each news of that orderer.
+        target: id of the target.
+        fence: fencing number of the orderer.
+        sequence: increases with each update of that orderer.
         loaded: ``model``, ``version``, ``adapters`` and ``role``.
-        held: it is about to load, and should get nothing new.
+        held: whether it is about to load and must not get new requests.
     """
 
     __slots__ = ("fence", "held", "loaded", "sequence", "target")
@@ -257,12 +261,13 @@
 
 
 class ConfigurationNews(Record):
-    """A version of the configuration, as a delta or whole.
+    """A version of the configuration, as a delta or a snapshot.
 
     Attributes:
-        version: which it leads to.
-        base_version: what the delta applies to; 0 for a whole one.
-        data: msgpack of the delta or of the whole; empty to say only that it exists.
+        version: resulting version.
+        base_version: version that the delta applies to; 0 for a snapshot.
+        data: msgpack of the delta or snapshot; empty to announce only that the version
+            exists.
     """
 
     __slots__ = ("base_version", "data", "version")
@@ -274,7 +279,7 @@
 
 
 class ConfigurationAsk(Record):
-    """Asks for the configuration above ``version``."""
+    """Requests the configuration versions after ``version``."""
 
     __slots__ = ("version",)
 
@@ -283,13 +288,13 @@
 
 
 class RelayCall(Record):
-    """Asks a peer to call the platform for an instance that is cut off from it.
+    """Asks a peer to call the platform for an instance that cannot reach it.
 
     Attributes:
-        number: matches the answer.
-        method: of :class:`~caperridge.store.interface.Platform`.
-        arguments: as the platform's wire form has them.
-        deadline_s: longest wait.
+        number: correlates the answer with the call.
+        method: method of :class:`~caperridge.store.interface.Platform`.
+        arguments: arguments in their wire form.
+        deadline_s: maximum time to wait, in seconds.
     """
 
     __slots__ = ("arguments", "deadline_s", "method", "number")
@@ -304,7 +309,7 @@
 
 
 class RelayAnswer(Record):
-    """Answers a :class:`RelayCall`; ``outcome`` is ``ok`` or the error's class."""
+    """Answer to a :class:`RelayCall`; ``outcome`` is ``ok`` or an error class."""
 
     __slots__ = ("number", "outcome", "value")
 
@@ -315,12 +320,12 @@
 
 
 class ListNews(Record):
-    """What changed in the platform's list of members, or all of it.
+    """Changes of the platform's member list, or the whole list.
 
     Attributes:
-        members: new or changed, as maps.
-        removed: ids that are gone.
-        whole: nothing else is in the list.
+        members: new or changed members, as maps.
+        removed: ids of removed members.
+        whole: whether ``members`` is the whole list.
         introduced: ``[instance, zone, address]`` of instances not listed yet.
     """
 
@@ -340,13 +345,13 @@
 
 
 class ListAsk(Record):
-    """Asks a peer for all of the platform's list, as the platform is away."""
+    """Requests the whole member list from a peer while the platform is unreachable."""
 
     __slots__ = ()
 
 
 class TraceAsk(Record):
-    """Asks for the trace of a request, for ``explain`` at another instance."""
+    """Requests the trace of a request, for ``explain`` at another instance."""
 
     __slots__ = ("number", "request")
 
@@ -356,7 +361,7 @@
 
 
 class TraceAnswer(Record):
-    """Answers a :class:`TraceAsk`; ``trace`` is None if there is none."""
+    """Answer to a :class:`TraceAsk`; ``trace`` is None if there is none."""
 
     __slots__ = ("number", "trace")
 
--- a/src/caperridge/peers/outbox.py
+++ b/src/caperridge/peers/outbox.py
@@ -1,7 +1,7 @@
-"""What waits to be sent to one peer: bounded, and newer news replaces older.
+"""Bounded, coalescing send queue of one peer: a newer update replaces an older one.
 
-A peer that reads slowly must cost its sender no memory, and what it finally reads
-should be the newest state, not the history of it.
+A slow peer must not cost the sender unbounded memory, and what it finally reads should
+be the latest state, not the history.
 """
 
 from collections import OrderedDict
@@ -22,94 +22,94 @@
 )
 from caperridge.records import Record
 
-MOST_MESSAGES = 2000
+MAX_MESSAGES = 2000
 
 
 @singledispatch
-def subject(message: Record) -> Any:
-    """Return what ``message`` is news of; None if each one matters by itself."""
+def replacement_key(message: Record) -> Any:
+    """Return the key by which ``message`` replaces older ones; None for no key."""
     return None
 
 
-@subject.register
+@replacement_key.register
 def _(message: Heartbeat) -> Any:
     return Heartbeat
 
 
-@subject.register
+@replacement_key.register
 def _(message: OnlineNews) -> Any:
     return OnlineNews, message.instance, message.target
 
 
-@subject.register
+@replacement_key.register
 def _(message: LatencyNews) -> Any:
     return LatencyNews, message.instance, message.target
 
 
-@subject.register
+@replacement_key.register
 def _(message: JobNews) -> Any:
     return JobNews, message.job
 
 
-@subject.register
+@replacement_key.register
 def _(message: TargetNews) -> Any:
     return TargetNews, message.target
 
 
-@subject.register
+@replacement_key.register
 def _(message: LoadNews) -> Any:
     return LoadNews, message.instance
 
 
-@subject.register
+@replacement_key.register
 def _(message: LoadedNews) -> Any:
     return LoadedNews, message.target
 
 
-@subject.register
+@replacement_key.register
 def _(message: ConfigurationNews) -> Any:
-    # A delta does not replace the one that it builds on, so each version counts.
+    # A delta must not replace the one that it applies to, so the key has the version.
     return ConfigurationNews, message.version
 
 
-@subject.register
+@replacement_key.register
 def _(message: ConfigurationAsk) -> Any:
     return ConfigurationAsk
 
 
-@subject.register
+@replacement_key.register
 def _(message: ListAsk) -> Any:
     return ListAsk
 
 
 class Outbox:
-    """Messages in order of first arrival; a newer one takes an older one's place."""
+    """Queue in arrival order; a replacement keeps the position of the older message."""
 
-    __slots__ = ("_messages_by_key", "_most", "_number", "dropped")
+    __slots__ = ("_max_messages", "_messages_by_key", "_unkeyed_count", "dropped")
 
-    def __init__(self, most: int = MOST_MESSAGES) -> None:
+    def __init__(self, max_messages: int = MAX_MESSAGES) -> None:
         self._messages_by_key: OrderedDict[Any, Record] = OrderedDict()
-        self._most = most
-        self._number = 0
+        self._max_messages = max_messages
+        self._unkeyed_count = 0
         self.dropped = 0
 
     def __len__(self) -> int:
         return len(self._messages_by_key)
 
     def put(self, message: Record) -> bool:
-        """Add ``message``; False, and counted, if there is no room for it."""
-        key = subject(message)
+        """Add ``message``; if the queue is full, count it as dropped, return False."""
+        key = replacement_key(message)
         if key is None:
-            self._number += 1
-            key = self._number
-        if key not in self._messages_by_key and len(self) >= self._most:
+            self._unkeyed_count += 1
+            key = self._unkeyed_count
+        if key not in self._messages_by_key and len(self) >= self._max_messages:
             self.dropped += 1
             return False
         self._messages_by_key[key] = message
         return True
 
-    def take(self) -> list[Record]:
-        """Return and forget everything."""
+    def drain(self) -> list[Record]:
+        """Return and remove all messages."""
         messages = list(self._messages_by_key.values())
         self._messages_by_key.clear()
         return messages
--- a/src/caperridge/peers/stream.py
+++ b/src/caperridge/peers/stream.py
@@ -1,4 +1,4 @@
-"""One authenticated stream to one peer."""
+"""One authenticated stream to one peer: send queue, reader and idle timeout."""
 
 import asyncio
 import contextlib
@@ -6,29 +6,29 @@
 from typing import Any
 
 from caperridge.log import logger
-from caperridge.peers.batching import gather, scatter
+from caperridge.peers.batching import batch_online_counts, split_online_counts
 from caperridge.peers.codec import Codec, NamesError
-from caperridge.peers.frames import SPEAKER
+from caperridge.peers.frames import SENDER_FIELD
 from caperridge.peers.framing import FrameError, MessageError, read_body
 from caperridge.peers.messages import Hello, OnlineCounts
 from caperridge.peers.outbox import Outbox
 from caperridge.records import Record
 
 log = logger(__name__)
-SILENCE_S = 15.0
-WRITE_S = 5.0
-MOST_AT_ONCE_BYTES = 256 * 2**10
+SILENCE_TIMEOUT_S = 15.0
+WRITE_TIMEOUT_S = 5.0
+MAX_WRITE_BYTES = 256 * 2**10
 
 
 class PeerStream:
     """Reads and writes the messages of one stream until either end closes it.
 
     Args:
-        reader: of the connection, after the handshake.
-        writer: of the connection.
-        hello: what the other end said.
+        reader: reader of the connection, after the handshake.
+        writer: writer of the connection.
+        hello: hello of the other end.
         dialed: whether this end opened the connection.
-        received: told of each message; called on the loop, must not block.
+        on_message: called on the event loop for each message; must not block.
         own: id of the instance at this end.
     """
 
@@ -38,7 +38,7 @@
         writer: asyncio.StreamWriter,
         hello: Hello,
         dialed: bool,
-        received: Callable[["PeerStream", Record], None],
+        on_message: Callable[["PeerStream", Record], None],
         own: str = "",
     ) -> None:
         self.hello = hello
@@ -52,14 +52,14 @@
         self.address = f"{host}:{hello.port}" if hello.port else ""
         self._reader = reader
         self._writer = writer
-        self._received = received
+        self._on_message = on_message
         self._own = own
         self._codec = Codec(own, hello.protocol)
         self._outbox = Outbox()
         self._wake = asyncio.Event()
-        self._counted = (0, 0, 0)
-        self._seen_bytes_in = -1
-        self._seen_at = 0.0
+        self._reported_counts = (0, 0, 0)
+        self._last_bytes_in = -1
+        self._last_received_at = 0.0
 
     @property
     def instance(self) -> str:
@@ -68,18 +68,18 @@
 
     @property
     def dropped(self) -> int:
-        """How many messages found no room."""
+        """Number of messages dropped because the send queue was full."""
         return self._outbox.dropped
 
     def send(self, message: Record) -> bool:
-        """Queue ``message``; False if the stream is closed or has no room."""
+        """Queue ``message``; False if the stream is closed or its queue is full."""
         if self.closed or not self._outbox.put(message):
             return False
         self._wake.set()
         return True
 
     def to_map(self) -> dict[str, Any]:
-        """Return the stream for the dump."""
+        """Return the stream as a map for the state dump."""
         return {
             "address": self.address,
             "availability_zone": self.hello.availability_zone,
@@ -95,28 +95,32 @@
 
     def take_counts(self) -> tuple[int, int, int]:
         """Return bytes in, bytes out and messages dropped since the last call."""
-        before = self._counted
-        self._counted = (self.bytes_in, self.bytes_out, self.dropped)
-        bytes_in, bytes_out, dropped = self._counted
-        return bytes_in - before[0], bytes_out - before[1], dropped - before[2]
-
-    def check(self, now: float) -> None:
-        """Close the stream if nothing came for long; ``now`` is monotonic."""
-        if self.bytes_in != self._seen_bytes_in:
-            self._seen_bytes_in = self.bytes_in
-            self._seen_at = now
-        elif now - self._seen_at >= SILENCE_S:
+        previous = self._reported_counts
+        self._reported_counts = (self.bytes_in, self.bytes_out, self.dropped)
+        bytes_in, bytes_out, dropped = self._reported_counts
+        return bytes_in - previous[0], bytes_out - previous[1], dropped - previous[2]
+
+    def close_if_silent(self, now: float) -> None:
+        """Close the stream after ``SILENCE_TIMEOUT_S`` without received bytes.
+
+        Args:
+            now: monotonic time in seconds.
+        """
+        if self.bytes_in != self._last_bytes_in:
+            self._last_bytes_in = self.bytes_in
+            self._last_received_at = now
+        elif now - self._last_received_at >= SILENCE_TIMEOUT_S:
             log.warning("stream dropped", peer=self.instance, reason="it is silent")
             self.close()
 
     def close(self) -> None:
-        """End the stream; :meth:`run` returns soon after."""
+        """Close the stream; :meth:`run` returns soon after."""
         self.closed = True
         self._wake.set()
         self._writer.close()
 
     async def run(self) -> None:
-        """Read and write until the stream ends."""
+        """Read and write until the stream is closed."""
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(self._read()), loop.create_task(self._write())]
         try:
@@ -127,7 +131,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(WRITE_S):
+                async with asyncio.timeout(WRITE_TIMEOUT_S):
                     await self._writer.wait_closed()
 
     async def _read(self) -> None:
@@ -137,7 +141,7 @@
                 if body is None:
                     return
                 self.bytes_in += len(body) + 4
-                self._take(body)
+                self._handle_body(body)
 
     async def _next_body(self) -> bytes | None:
         try:
@@ -146,12 +150,12 @@
             log.warning("stream dropped", peer=self.instance, reason=str(error))
             return None
 
-    def _take(self, body: bytes) -> None:
+    def _handle_body(self, body: bytes) -> None:
         try:
             message = self._codec.decode(body)
             if isinstance(message, OnlineCounts):
-                for news in scatter(message, self.instance):
-                    self._received(self, news)
+                for update in split_online_counts(message, self.instance):
+                    self._on_message(self, update)
                 return
         except NamesError as error:
             log.error("stream dropped", peer=self.instance, reason=str(error))
@@ -164,36 +168,36 @@
         if message is None:
             self.unknown_kinds += 1
             return
-        if SPEAKER in message.__slots__ and not message.instance:
+        if SENDER_FIELD in message.__slots__ and not message.instance:
             message.instance = self.instance
-        self._received(self, message)
+        self._on_message(self, message)
 
     async def _write(self) -> None:
         with contextlib.suppress(TimeoutError, OSError):
             while not self.closed:
                 await self._wake.wait()
                 self._wake.clear()
-                for data in self._frames():
+                for data in self._encode_queued():
                     self._writer.write(data)
                     self.bytes_out += len(data)
                     if self._writer.transport.get_write_buffer_size():
-                        # Mostly the system takes it all, and a timer is saved.
-                        async with asyncio.timeout(WRITE_S):
+                        # Usually the kernel takes all bytes, which saves a timer.
+                        async with asyncio.timeout(WRITE_TIMEOUT_S):
                             await self._writer.drain()
 
-    def _frames(self) -> list[bytes]:
-        """Return what waits, in pieces of bounded size rather than one a message."""
-        pieces: list[bytes] = []
-        piece = bytearray()
-        for message in gather(self._outbox.take(), self._own):
+    def _encode_queued(self) -> list[bytes]:
+        """Return the queued messages, joined into buffers of bounded size."""
+        buffers: list[bytes] = []
+        buffer = bytearray()
+        for message in batch_online_counts(self._outbox.drain(), self._own):
             try:
-                piece += self._codec.encode(message)
+                buffer += self._codec.encode(message)
             except MessageError as error:
                 log.error("message not sent", peer=self.instance, reason=str(error))
                 continue
-            if len(piece) >= MOST_AT_ONCE_BYTES:
-                pieces.append(bytes(piece))
-                piece = bytearray()
-        if piece:
-            pieces.append(bytes(piece))
-        return pieces
+            if len(buffer) >= MAX_WRITE_BYTES:
+                buffers.append(bytes(buffer))
+                buffer = bytearray()
+        if buffer:
+            buffers.append(bytes(buffer))
+        return buffers
--- a/src/caperridge/peers/streams.py
+++ b/src/caperridge/peers/streams.py
@@ -1,4 +1,4 @@
-"""The open streams of one instance: one to each peer."""
+"""Registry of the open streams of one instance, one for each peer."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -8,11 +8,11 @@
 
 
 class Streams:
-    """Keeps one stream to each peer and sends to some or all of them.
+    """Holds one stream to each peer and sends to some or all of them.
 
     Args:
-        instance: the own id.
-        availability_zone: the own one.
+        instance: id of this instance.
+        availability_zone: availability zone of this instance.
     """
 
     def __init__(self, instance: str, availability_zone: str) -> None:
@@ -24,7 +24,7 @@
         return iter(list(self.by_id.values()))
 
     def add(self, stream: PeerStream) -> bool:
-        """Keep ``stream``, or close it if the one there is better; return which."""
+        """Add ``stream``, or close it if the old one is better; True if it was added."""
         old = self.by_id.get(stream.instance)
         if old is not None and not old.closed and not self._replaces(stream, old):
             stream.close()
@@ -34,8 +34,8 @@
         self.by_id[stream.instance] = stream
         return True
 
-    def drop(self, stream: PeerStream) -> bool:
-        """Forget ``stream``; return whether it was the one to its peer."""
+    def discard(self, stream: PeerStream) -> bool:
+        """Remove ``stream``; return whether it was the current one of its peer."""
         if self.by_id.get(stream.instance) is not stream:
             return False
         del self.by_id[stream.instance]
@@ -46,24 +46,24 @@
         stream = self.by_id.get(instance)
         return stream is not None and stream.send(message)
 
-    def send_one_of(self, zone: str, message: Record) -> bool:
-        """Queue ``message`` for any one peer of ``zone``; False if there is none."""
+    def send_to_any_in(self, zone: str, message: Record) -> bool:
+        """Queue ``message`` for any one peer in ``zone``; False if there is none."""
         for stream in self.by_id.values():
             if stream.hello.availability_zone == zone and stream.send(message):
                 return True
         return False
 
     def send_zone(self, message: Record) -> int:
-        """Queue ``message`` for every peer of the own zone; return how many."""
+        """Queue ``message`` for every peer in this zone; return their number."""
         sent = 0
         for stream in self.by_id.values():
             if stream.hello.availability_zone == self._availability_zone:
                 sent += stream.send(message)
         return sent
 
-    def send_all(self, message: Record, but: PeerStream | None = None) -> int:
-        """Queue ``message`` for every peer ``but`` one; return how many."""
-        return sum(s.send(message) for s in self.by_id.values() if s is not but)
+    def send_all(self, message: Record, exclude: PeerStream | None = None) -> int:
+        """Queue ``message`` for every peer, except ``exclude``; return their number."""
+        return sum(s.send(message) for s in self.by_id.values() if s is not exclude)
 
     def close(self) -> None:
         """Close every stream."""
@@ -71,14 +71,14 @@
             stream.close()
 
     def to_map(self) -> dict[str, Any]:
-        """Return the streams for the dump."""
+        """Return the streams as a map for the state dump."""
         return {i: stream.to_map() for i, stream in sorted(self.by_id.items())}
 
     def _replaces(self, stream: PeerStream, old: PeerStream) -> bool:
-        """Return whether ``stream`` is kept rather than ``old``, to the same peer.
+        """Return whether ``stream`` replaces ``old``, a stream to the same peer.
 
-        Both ends decide alike: a later incarnation first, then the stream that the
-        lower id has opened, then the later one.
+        Both ends come to the same decision: they prefer the later incarnation, then the
+        stream that was opened by the instance with the lower id, then the newer stream.
         """
         if stream.hello.incarnation != old.hello.incarnation:
             return stream.hello.incarnation > old.hello.incarnation
--- a/tests/peers/test_compact.py
+++ b/tests/peers/test_compact.py
@@ -6,7 +6,12 @@
 import pytest
 
 from caperridge.peers.codec import Codec, NamesError
-from caperridge.peers.compact import COMPACT_PROTOCOL, MOST_NAMES, NamesIn, NamesOut
+from caperridge.peers.compact import (
+    COMPACT_PROTOCOL,
+    MAX_NAMES,
+    NameDecoder,
+    NameEncoder,
+)
 from caperridge.peers.messages import (
     Heartbeat,
     Hello,
@@ -62,15 +67,15 @@
 
 
 def test_both_ends_stop_numbering_at_the_same_name() -> None:
-    out, back = NamesOut(), NamesIn()
-    names = [f"r-{n}" for n in range(MOST_NAMES + 2)]
+    out, back = NameEncoder(), NameDecoder()
+    names = [f"r-{n}" for n in range(MAX_NAMES + 2)]
     for name in names * 2:
-        assert back.name(out.name(name)) == name
-    assert out.name(names[MOST_NAMES - 1]) == MOST_NAMES - 1
-    assert out.name(names[MOST_NAMES]) == names[MOST_NAMES]
-    for number in (MOST_NAMES, -1):
-        with pytest.raises(ValueError, match="no number of a name"):
-            back.name(number)
+        assert back.convert_name(out.convert_name(name)) == name
+    assert out.convert_name(names[MAX_NAMES - 1]) == MAX_NAMES - 1
+    assert out.convert_name(names[MAX_NAMES]) == names[MAX_NAMES]
+    for number in (MAX_NAMES, -1):
+        with pytest.raises(ValueError, match="not the number of a name"):
+            back.convert_name(number)
 
 
 @pytest.mark.parametrize(
@@ -120,8 +125,8 @@
     stream = PeerStream(
         asyncio.StreamReader(), Transport(), hello, True, lambda _, m: heard.append(m)
     )
-    stream._take(pack({"is": "JobNews"}))
+    stream._handle_body(pack({"is": "JobNews"}))
     assert not stream.closed
-    stream._take(pack([3, 0]))
+    stream._handle_body(pack([3, 0]))
     assert stream.closed
     assert heard == []
--- a/tests/peers/test_frames.py
+++ b/tests/peers/test_frames.py
@@ -7,16 +7,16 @@
 import pytest
 
 from caperridge.peers import handshake, messages
-from caperridge.peers.batching import gather, scatter
-from caperridge.peers.frames import MOST_HELLO_BYTES, decode, encode
+from caperridge.peers.batching import batch_online_counts, split_online_counts
+from caperridge.peers.frames import MAX_HELLO_BYTES, decode, encode
 from caperridge.peers.framing import (
-    MOST_FRAME_BYTES,
+    MAX_FRAME_BYTES,
     FrameError,
     MessageError,
     read_body,
 )
 from caperridge.peers.outbox import Outbox
-from caperridge.peers.stream import SILENCE_S, PeerStream
+from caperridge.peers.stream import SILENCE_TIMEOUT_S, PeerStream
 from caperridge.records import Record, pack, unpack
 
 EXAMPLES: list[Record] = [
@@ -92,7 +92,7 @@
     own = messages.LatencyNews("e-1", "r-1", 0.2, 0.0)
     of_another = messages.LatencyNews("e-2", "r-1", 0.2, 0.0)
     for message in (own, of_another):
-        stream._take(encode(message, "e-1")[4:])
+        stream._handle_body(encode(message, "e-1")[4:])
     assert heard == [own, of_another]
     assert "instance" not in unpack(encode(own, "e-1")[4:])
 
@@ -101,16 +101,18 @@
     own = [messages.OnlineNews("e-1", f"r-{n}", n, 1000 + n) for n in range(3)]
     passed_on = messages.OnlineNews("e-2", "r-9", 4, 7)
     other = messages.JobNews("j", "open")
-    gathered = gather([own[0], other, passed_on, *own[1:]], "e-1")
+    gathered = batch_online_counts([own[0], other, passed_on, *own[1:]], "e-1")
     assert gathered[1] == other
-    scattered = [n for m in (gathered[0], gathered[2]) for n in scatter(m, "e-1")]
+    scattered = [
+        n for m in (gathered[0], gathered[2]) for n in split_online_counts(m, "e-1")
+    ]
     assert scattered == [*own, passed_on]
 
 
 @pytest.mark.parametrize("counts", [[["r-1", 2]], [["r-1", 2, "x"]], [7], 7])
 def test_counts_that_make_no_sense_are_refused(counts: Any) -> None:
     with pytest.raises((ValueError, TypeError)):
-        scatter(messages.OnlineCounts(counts), "e-1")
+        split_online_counts(messages.OnlineCounts(counts), "e-1")
 
 
 @pytest.mark.parametrize(
@@ -157,12 +159,12 @@
 
 def test_a_message_too_large_for_a_frame_is_not_sent() -> None:
     with pytest.raises(MessageError):
-        encode(messages.ConfigurationNews(1, 0, bytes(MOST_FRAME_BYTES)))
+        encode(messages.ConfigurationNews(1, 0, bytes(MAX_FRAME_BYTES)))
 
 
 async def test_an_announced_giant_is_not_awaited() -> None:
     reader = asyncio.StreamReader()
-    reader.feed_data(struct.pack(">I", MOST_FRAME_BYTES + 1))
+    reader.feed_data(struct.pack(">I", MAX_FRAME_BYTES + 1))
     with pytest.raises(FrameError):
         await read_body(reader)
 
@@ -246,8 +248,8 @@
     dialing = asyncio.ensure_future(handshake.dial(back.reader, there, hello("a"), "s"))
     await asyncio.sleep(0)
     first = decode(there.passed[0][4:])
-    own = handshake.fresh(hello("b"))
-    proof = handshake.prove("s", handshake.DIALER, own, first)
+    own = handshake.with_new_nonce(hello("b"))
+    proof = handshake.compute_proof("s", handshake.DIALER, own, first)
     back.write(encode(own.replace(proof=proof)))
     with pytest.raises(handshake.HandshakeError, match="proof"):
         await dialing
@@ -255,18 +257,21 @@
 
 @pytest.mark.parametrize("field", ["instance", "availability_zone", "incarnation"])
 def test_a_proof_covers_who_the_sender_is(field: str) -> None:
-    mine, other = handshake.fresh(hello("a")), handshake.fresh(hello("b"))
-    proof = handshake.prove("s", handshake.DIALER, mine, other)
+    mine, other = (
+        handshake.with_new_nonce(hello("a")),
+        handshake.with_new_nonce(hello("b")),
+    )
+    proof = handshake.compute_proof("s", handshake.DIALER, mine, other)
     changed = mine.replace(**{field: 9 if field == "incarnation" else "x"})
     with pytest.raises(handshake.HandshakeError):
-        handshake.check("s", handshake.DIALER, changed, proof, other)
+        handshake.verify_proof("s", handshake.DIALER, changed, proof, other)
 
 
 @pytest.mark.parametrize(
     "data",
     [
         b"GET / HTTP/1.1\r\n\r\n",
-        struct.pack(">I", MOST_HELLO_BYTES + 1),
+        struct.pack(">I", MAX_HELLO_BYTES + 1),
         encode(messages.JobNews("j", "open")),
         struct.pack(">I", 2) + b"\xc1\xc1",
     ],
@@ -280,7 +285,7 @@
 
 
 def test_newer_news_takes_the_place_of_older_and_room_is_bounded() -> None:
-    outbox = Outbox(most=3)
+    outbox = Outbox(max_messages=3)
     for number in range(5):
         assert outbox.put(messages.OnlineNews("e", "r-1", number, number))
     assert outbox.put(messages.RelayCall(1, "read", {}, 1.0))
@@ -288,10 +293,10 @@
     assert not outbox.put(messages.OnlineNews("e", "r-2", 1, 9))
     assert outbox.put(messages.OnlineNews("e", "r-1", 7, 10))
     assert outbox.dropped == 1
-    taken = outbox.take()
+    taken = outbox.drain()
     assert taken[0] == messages.OnlineNews("e", "r-1", 7, 10)
     assert [type(m).__name__ for m in taken] == ["OnlineNews", "RelayCall", "RelayCall"]
-    assert outbox.take() == []
+    assert outbox.drain() == []
 
 
 class Transport:
@@ -310,11 +315,11 @@
 async def test_a_silent_stream_is_closed_and_a_talking_one_is_not() -> None:
     writer = Transport()
     stream = PeerStream(asyncio.StreamReader(), writer, hello("a"), True, print)
-    stream.check(100.0)
-    stream.check(100.0 + SILENCE_S - 1)
+    stream.close_if_silent(100.0)
+    stream.close_if_silent(100.0 + SILENCE_TIMEOUT_S - 1)
     stream.bytes_in += 1
-    stream.check(100.0 + SILENCE_S)
+    stream.close_if_silent(100.0 + SILENCE_TIMEOUT_S)
     assert not writer.closed
-    stream.check(100.0 + 2 * SILENCE_S)
+    stream.close_if_silent(100.0 + 2 * SILENCE_TIMEOUT_S)
     assert writer.closed
     assert not stream.send(messages.ListAsk())
