--- a/src/caperridge/peers/streams.py
+++ b/src/caperridge/peers/streams.py
@@ -24,7 +24,7 @@
         return iter(list(self.by_id.values()))
 
     def add(self, stream: PeerStream) -> bool:
-        """Add ``stream``, or close it if the old one is better; True if it was added."""
+        """Add ``stream``, or close it if the old one is better; return False then."""
         old = self.by_id.get(stream.instance)
         if old is not None and not old.closed and not self._replaces(stream, old):
             stream.close()
