--- a/src/caperridge/decisions/__init__.py
+++ b/src/caperridge/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: state, a message and a time in; typed actions out."""
+"""Pure decision logic: takes state, a message and a time; returns typed actions."""
--- a/src/caperridge/decisions/affinity.py
+++ b/src/caperridge/decisions/affinity.py
@@ -1,8 +1,8 @@
-"""Which prompt prefixes a target probably has cached.
+"""Prefix-cache affinity: an index of the prompt prefixes that targets have cached.
 
-Each prompt is cut into blocks whose hashes are chained, so that a hash names a whole
-prefix. The history notes what was sent where and is corrected by the cache events of
-the engines, which come late and with gaps: an event only ever adds.
+Each prompt is split into blocks whose hashes are chained, so that a hash identifies a
+whole prefix. The index records which target got which prefix, and is extended by the
+cache events of the engines. These arrive late and with gaps, so an event only adds.
 """
 
 from collections import OrderedDict
@@ -43,15 +43,15 @@
 
 
 def prompt_tokens(prompt: str) -> int:
-    """Return about how many tokens ``prompt`` has."""
+    """Return the approximate number of tokens in ``prompt``."""
     return len(prompt) // CHARACTERS_PER_TOKEN + 1
 
 
 class PrefixIndex:
-    """The targets that hold each prefix, the least recently used going first.
+    """The targets that hold each prefix; evicts the least recently used prefix.
 
     Args:
-        most_blocks: prefixes remembered; about 250 bytes each.
+        max_blocks: maximum number of prefixes; about 250 bytes each.
     """
 
     def __init__(self, max_blocks: int = MAX_BLOCKS) -> None:
@@ -62,7 +62,7 @@
         return len(self._holders_by_block)
 
     def record(self, target: str, blocks: Iterable[int]) -> None:
-        """Note that ``target`` got, or said that it cached, these prefixes."""
+        """Record that ``target`` got these prefixes, or reported them as cached."""
         for block in blocks:
             holders = self._holders_by_block.get(block)
             if holders is None:
@@ -77,7 +77,7 @@
             self._holders_by_block.popitem(last=False)
 
     def remove_target(self, target: str) -> None:
-        """Forget a target whose cache is gone with it."""
+        """Remove a target whose cache was lost."""
         for block, holders in list(self._holders_by_block.items()):
             if target not in holders:
                 continue
@@ -88,7 +88,8 @@
     def tokens_by_target(self, blocks: Sequence[int]) -> dict[str, int]:
         """Return how many leading tokens each target probably has cached.
 
-        A target that misses a block holds nothing behind it, whatever it says.
+        A target that lacks a block has no usable cache for later ones, whatever it
+        reports.
         """
         tokens: dict[str, int] = {}
         for number, block in enumerate(blocks):
--- a/src/caperridge/decisions/backoff.py
+++ b/src/caperridge/decisions/backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait before the next try: doubling, bounded, with jitter."""
+"""Exponential backoff with an upper bound and jitter."""
 
 BASE_DELAY_S = 0.25
 MAX_DELAY_S = 15.0
@@ -7,22 +7,22 @@
 
 def backoff_s(
     failures: int,
-    chance: float,
-    first_s: float = BASE_DELAY_S,
-    most_s: float = MAX_DELAY_S,
+    jitter: float,
+    base_s: float = BASE_DELAY_S,
+    max_s: float = MAX_DELAY_S,
 ) -> float:
-    """Return the pause after ``failures`` failures in a row.
+    """Return the delay in seconds after consecutive failures.
 
     Args:
-        failures: at least 1.
-        chance: from 0 to 1, drawn by the caller.
-        first_s: the longest pause after one failure.
-        most_s: the longest pause at all.
+        failures: number of consecutive failures, at least 1.
+        jitter: random number from 0 to 1.
+        base_s: longest delay after one failure.
+        max_s: longest delay after any number of failures.
 
     >>> [backoff_s(n, 1.0) for n in (1, 2, 3, 20)]
     [0.25, 0.5, 1.0, 15.0]
     >>> backoff_s(1, 0.0)
     0.125
     """
-    longest = min(most_s, first_s * 2 ** min(failures - 1, 30))
-    return longest * (MIN_DELAY_RATIO + (1 - MIN_DELAY_RATIO) * chance)
+    limit = min(max_s, base_s * 2 ** min(failures - 1, 30))
+    return limit * (MIN_DELAY_RATIO + (1 - MIN_DELAY_RATIO) * jitter)
--- a/src/caperridge/decisions/burst.py
+++ b/src/caperridge/decisions/burst.py
@@ -1,9 +1,9 @@
-"""What bursts of online requests a target has seen of late.
+"""Estimates of recent bursts of online requests at a target.
 
-Three figures are kept: how many requests ran at most within a short time, which
-keeps a freed slot from going to batch and back; how many arrived at most within the
-time that preemption takes, which is the room to keep free; and the concurrency at
-which the slowest tokens were made, which is what online callers put up with anyway.
+Three values are tracked: the maximum concurrency within a short time, which prevents a
+freed slot from going to batch and back; the maximum number of arrivals within the time
+that preemption takes, which is the reserve to keep free; and the concurrency at the
+tail, where the slowest tokens were generated, which online callers experience anyway.
 """
 
 import math
@@ -17,7 +17,7 @@
 
 
 class SlidingMaximum:
-    """The greatest value within a window that moves with the clock.
+    """Maximum of the values within a sliding window of time.
 
     >>> maximum = SlidingMaximum(10.0)
     >>> maximum.add(5, now=0.0)
@@ -26,7 +26,7 @@
     (5, 3, 0)
 
     Args:
-        window_s: the longest window that may be asked for.
+        window_s: the longest window that :meth:`value` supports.
     """
 
     __slots__ = ("_candidates", "_window_s")
@@ -42,7 +42,7 @@
         self._candidates.append((now, value))
 
     def value(self, now: float, window_s: float | None = None) -> int:
-        """Return the greatest value of the window, or of a shorter one; or 0."""
+        """Return the maximum of the window, or of a shorter one; 0 if it is empty."""
         while self._candidates and self._candidates[0][0] < now - self._window_s:
             self._candidates.popleft()
         since = now - (self._window_s if window_s is None else window_s)
@@ -53,13 +53,13 @@
 
 
 class BurstEstimate:
-    """Follows the online requests at one target.
+    """Estimates the bursts of online requests at one target.
 
     Args:
-        memory_s: how long a burst of arrivals is remembered.
+        arrivals_window_s: seconds for which a burst of arrivals is remembered.
 
     Attributes:
-        online: requests at the target by the last note.
+        online: last recorded number of online requests at the target.
         arrived_at: when the last request arrived.
     """
 
@@ -85,16 +85,16 @@
         self._scale = 1.0
 
     def record(self, online: int, reaction_s: float, now: float) -> None:
-        """Note that ``online`` requests run now.
+        """Record the number of online requests at the target.
 
         Args:
-            online: at the target, of all instances.
-            reaction_s: how long it takes until a preempted slot is free.
+            online: requests at the target, from all instances.
+            reaction_s: seconds until a preempted slot is free.
             now: monotonic seconds.
         """
         self._weigh(now)
         if online < self.online:
-            # The level that ended now counts as seen up to now.
+            # The previous concurrency lasted until now.
             self._max_online.add(self.online, now)
         for _ in range(online - self.online):
             self._arrivals.append(now)
@@ -106,36 +106,36 @@
         self.online = online
 
     def max_online(self, now: float, hold_s: float) -> int:
-        """Return the most requests that ran at once within ``hold_s``."""
+        """Return the maximum concurrency within the last ``hold_s`` seconds."""
         return max(self.online, self._max_online.value(now, hold_s))
 
     def max_arrivals(self, now: float) -> int:
-        """Return the most arrivals remembered within one reaction time."""
+        """Return the maximum number of recent arrivals within one reaction time."""
         return self._max_arrivals.value(now)
 
     def tail_online(self, now: float) -> int:
-        """Return the concurrency below which 95 in 100 online tokens were made."""
+        """Return the concurrency below which 95 % of online tokens were generated."""
         self._weigh(now)
-        left = TAIL_QUANTILE * sum(self._weights_by_online.values())
+        remaining = TAIL_QUANTILE * sum(self._weights_by_online.values())
         for online, weight in sorted(self._weights_by_online.items()):
-            left -= weight
-            if left <= 0:
+            remaining -= weight
+            if remaining <= 0:
                 return online
         return self.online
 
     def _weigh(self, now: float) -> None:
-        """Count the time since the last note towards its level.
+        """Add the time since the last record to the weight of its concurrency.
 
-        Tokens made are as the requests that make them, and the time. Instead of
-        letting all weights fall, new ones rise.
+        The number of tokens is proportional to concurrency and time. Instead of
+        decaying all weights, later ones are scaled up.
         """
         elapsed = max(0.0, now - self._noted_at)
         self._noted_at = max(now, self._noted_at)
         self._scale *= 2 ** (min(elapsed, 10 * HALF_LIFE_S) / HALF_LIFE_S)
         if self.online:
             weight = self.online * elapsed * self._scale
-            known = self._weights_by_online.get(self.online, 0.0)
-            self._weights_by_online[self.online] = known + weight
+            weight_so_far = self._weights_by_online.get(self.online, 0.0)
+            self._weights_by_online[self.online] = weight_so_far + weight
         if self._scale > _RENORMALISE_AT:
             self._renormalise()
 
--- a/src/caperridge/decisions/ejection.py
+++ b/src/caperridge/decisions/ejection.py
@@ -1,7 +1,7 @@
-"""Ejecting targets that fail, for a while, and never too many of a service.
+"""Outlier ejection: failing targets are ejected temporarily, up to a share per service.
 
-Failures of one target in a row weigh by how telling they are. Enough of them eject
-the target; the time out doubles with each ejection. A returned target is on
+Consecutive failures of a target count strikes by severity. At the threshold the target
+is ejected, and the ejection time doubles with each ejection. A returned target is on
 probation: its next failure ejects it again.
 """
 
@@ -24,46 +24,46 @@
 
 
 @singledispatch
-def strikes_of(error: AttemptError) -> int:
-    """Return how much a failed attempt says against its target."""
+def strikes_for(error: AttemptError) -> int:
+    """Return the number of strikes that a failed attempt counts for its target."""
     raise NotImplementedError(type(error).__name__)
 
 
-@strikes_of.register
+@strikes_for.register
 def _(error: NotSent) -> int:
-    return EJECTION_THRESHOLD  # nobody listens: the next one would find nobody either
+    return EJECTION_THRESHOLD  # no listener, so the next attempt would fail as well
 
 
-@strikes_of.register
+@strikes_for.register
 def _(error: Lost) -> int:
     return 2
 
 
-@strikes_of.register
+@strikes_for.register
 def _(error: WrongAnswer) -> int:
     return EJECTION_THRESHOLD
 
 
-@strikes_of.register
+@strikes_for.register
 def _(error: TargetRefused) -> int:
     if error.leaving or error.status == 429 or error.status < 500:
         return 0
     return 1
 
 
-@strikes_of.register
+@strikes_for.register
 def _(error: Withdrawn) -> int:
     return 0
 
 
 class Health(Record):
-    """What speaks against one target.
+    """Failures and ejections of one target.
 
     Attributes:
-        strikes: failures since its last success, weighed.
-        ejections: ejections since it last recovered for good.
-        out_until: when it may come back; 0 if it is not ejected.
-        returned_at: when it last came back; 0 if it never was out.
+        strikes: weighted failures since its last success.
+        ejections: ejections since it last recovered.
+        out_until: end of its ejection; 0 if it was never ejected.
+        returned_at: end of its last ejection; 0 if it was never ejected.
     """
 
     __slots__ = ("ejections", "out_until", "returned_at", "strikes")
@@ -86,22 +86,22 @@
 
     @property
     def on_probation(self) -> bool:
-        """Whether the target was ejected and has not answered since."""
+        """Whether the target was ejected and has had no success since."""
         return bool(self.returned_at) and self.strikes >= EJECTION_THRESHOLD - 1
 
     def record_success(self, now: float) -> None:
-        """Note a whole answer; it ends a probation."""
+        """Record a complete answer, which ends a probation."""
         self.strikes = 0
         if not self.is_ejected(now):
             self.ejections = 0
 
     def record_failure(self, error: AttemptError) -> bool:
-        """Note a failure; return whether the target should be ejected."""
-        self.strikes += strikes_of(error)
+        """Record a failure; return whether the target should be ejected."""
+        self.strikes += strikes_for(error)
         return self.strikes >= EJECTION_THRESHOLD
 
     def eject(self, now: float) -> float:
-        """Eject the target; return for how long."""
+        """Eject the target; return the seconds of the ejection."""
         out_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.ejections)
         self.ejections = min(self.ejections + 1, 10)
         self.out_until = now + out_s
@@ -110,10 +110,14 @@
         return out_s
 
 
-def may_eject(usable: int, out: int) -> bool:
-    """Return whether one more of ``usable`` targets may go, ``out`` being out.
+def may_eject(usable: int, ejected: int) -> bool:
+    """Return whether one more of ``usable`` targets may be ejected.
+
+    Args:
+        usable: targets of the service.
+        ejected: those of them that are ejected already.
 
     >>> may_eject(1, 0), may_eject(2, 0), may_eject(2, 1), may_eject(6, 2)
     (False, True, False, True)
     """
-    return out + 1 <= usable * MAX_EJECTED_RATIO
+    return ejected + 1 <= usable * MAX_EJECTED_RATIO
--- a/src/caperridge/decisions/fair_queue.py
+++ b/src/caperridge/decisions/fair_queue.py
@@ -1,8 +1,8 @@
-"""A bounded queue that is fair between callers by weight and knows deadlines.
+"""Start-time fair queueing between weighted callers, bounded and with deadlines.
 
-Start-time fair queueing: each request is stamped with the virtual time at which its
-caller's share lets it start, and the least stamp goes first. When the queue is full,
-the caller with the most waiting for its weight loses its newest request.
+Each request is stamped with the virtual time at which its caller's share lets it start,
+and the lowest stamp is dequeued first. When the queue is full, the caller with the most
+waiting requests for its weight loses its newest one.
 """
 
 from collections import deque
@@ -15,15 +15,15 @@
 
 
 class QueuedRequest(Record):
-    """One request that waits.
+    """A request in the queue.
 
     Attributes:
-        id: of the request.
-        caller: whose share it uses.
-        weight: of the caller.
-        deadline: when waiting longer makes no sense.
-        context: the owner's own; returned untouched.
-        start: its stamp in virtual time.
+        id: id of the request.
+        caller: caller whose share it uses.
+        weight: weight of the caller.
+        deadline: time from which it is dropped.
+        context: opaque to the queue.
+        start: its start stamp in virtual time.
     """
 
     __slots__ = ("caller", "context", "deadline", "id", "start", "weight")
@@ -45,110 +45,115 @@
 
 
 class FairQueue:
-    """What waits for one service."""
+    """The queue of one service."""
 
-    def __init__(self, most_waiting: int = MAX_WAITING) -> None:
-        self._most_waiting = most_waiting
+    def __init__(self, max_waiting: int = MAX_WAITING) -> None:
+        self._max_waiting = max_waiting
         self._waiting_by_caller: dict[str, deque[QueuedRequest]] = {}
-        self._finish_by_caller: dict[str, float] = {}
-        self._virtual = 0.0
+        self._finish_stamp_by_caller: dict[str, float] = {}
+        self._virtual_time = 0.0
         self._length = 0
 
     def __len__(self) -> int:
         return self._length
 
-    def push(self, waiting: QueuedRequest) -> QueuedRequest | None:
-        """Queue a request; return the one that has to go if there is no room.
+    def push(self, request: QueuedRequest) -> QueuedRequest | None:
+        """Queue a request; return the request dropped if the queue is full.
 
-        That may be ``waiting`` itself.
+        That may be ``request`` itself.
         """
         dropped: QueuedRequest | None = None
-        if self._length >= self._most_waiting:
-            dropped = self._to_drop(waiting)
-            if dropped is waiting:
+        if self._length >= self._max_waiting:
+            dropped = self._to_drop(request)
+            if dropped is request:
                 return dropped
             self.remove(dropped)
-        finish = self._finish_by_caller.get(waiting.caller, 0.0)
-        waiting.start = max(self._virtual, finish)
-        self._finish_by_caller[waiting.caller] = waiting.start + 1.0 / waiting.weight
-        self._waiting_by_caller.setdefault(waiting.caller, deque()).append(waiting)
+        finish_stamp = self._finish_stamp_by_caller.get(request.caller, 0.0)
+        request.start = max(self._virtual_time, finish_stamp)
+        self._finish_stamp_by_caller[request.caller] = (
+            request.start + 1.0 / request.weight
+        )
+        self._waiting_by_caller.setdefault(request.caller, deque()).append(request)
         self._length += 1
         return dropped
 
     def pop(self, now: float) -> tuple[QueuedRequest | None, list[QueuedRequest]]:
-        """Return who is next, and those whose deadline passed while they waited."""
-        late = self.expire(now)
+        """Return the next request, and those whose deadline has passed."""
+        expired = self.expire(now)
         best: QueuedRequest | None = None
         for queue in self._waiting_by_caller.values():
             if best is None or queue[0].start < best.start:
                 best = queue[0]
         if best is None:
-            return None, late
-        self._virtual = max(self._virtual, best.start)
-        finish = self._finish_by_caller[best.caller]
+            return None, expired
+        self._virtual_time = max(self._virtual_time, best.start)
+        finish_stamp = self._finish_stamp_by_caller[best.caller]
         self.remove(best)
         if self._length:
-            self._finish_by_caller[best.caller] = finish
-        self._prune()
-        return best, late
+            self._finish_stamp_by_caller[best.caller] = finish_stamp
+        self._prune_stamps()
+        return best, expired
 
     def expire(self, now: float) -> list[QueuedRequest]:
         """Remove and return those whose deadline has passed."""
-        late: list[QueuedRequest] = []
+        expired: list[QueuedRequest] = []
         for queue in self._waiting_by_caller.values():
-            late.extend(waiting for waiting in queue if waiting.deadline <= now)
-        for waiting in late:
-            self.remove(waiting)
-        return late
-
-    def remove(self, waiting: QueuedRequest) -> bool:
-        """Take a request out, e.g. because its caller hung up."""
-        queue = self._waiting_by_caller.get(waiting.caller)
+            expired.extend(request for request in queue if request.deadline <= now)
+        for request in expired:
+            self.remove(request)
+        return expired
+
+    def remove(self, request: QueuedRequest) -> bool:
+        """Remove a request, for example because its caller disconnected."""
+        queue = self._waiting_by_caller.get(request.caller)
         if queue is None:
             return False
-        for index, found in enumerate(queue):
-            if found is waiting:
+        for index, queued in enumerate(queue):
+            if queued is request:
                 del queue[index]
                 break
         else:
             return False
         if index == len(queue):
-            # The newest gives its stamp back: its caller did not use it.
-            self._finish_by_caller[waiting.caller] = waiting.start
+            # The newest request returns its stamp, since its caller did not use it.
+            self._finish_stamp_by_caller[request.caller] = request.start
         self._length -= 1
         if not queue:
-            del self._waiting_by_caller[waiting.caller]
+            del self._waiting_by_caller[request.caller]
         if not self._length:
-            self._finish_by_caller.clear()
-            self._virtual = 0.0
+            self._finish_stamp_by_caller.clear()
+            self._virtual_time = 0.0
         return True
 
     def requests_ahead(self, caller: str, weight: float) -> int:
-        """Return about how many would go before a new request of ``caller``."""
-        finish = self._finish_by_caller.get(caller, 0.0)
-        start = max(self._virtual, finish)
+        """Return approximately how many requests precede a new one of ``caller``."""
+        finish_stamp = self._finish_stamp_by_caller.get(caller, 0.0)
+        start = max(self._virtual_time, finish_stamp)
         ahead = 0
         for queue in self._waiting_by_caller.values():
-            for waiting in queue:
-                if waiting.start > start:
+            for request in queue:
+                if request.start > start:
                     break
                 ahead += 1
         return ahead
 
-    def _prune(self) -> None:
-        if len(self._finish_by_caller) <= MAX_FINISH_STAMPS:
+    def _prune_stamps(self) -> None:
+        if len(self._finish_stamp_by_caller) <= MAX_FINISH_STAMPS:
             return
-        for caller, finish in list(self._finish_by_caller.items()):
-            if finish <= self._virtual and caller not in self._waiting_by_caller:
-                del self._finish_by_caller[caller]
-
-    def _to_drop(self, waiting: QueuedRequest) -> QueuedRequest:
-        own = self._waiting_by_caller.get(waiting.caller, ())
-        most = (len(own) + 1) / waiting.weight
-        dropped = waiting
+        for caller, finish_stamp in list(self._finish_stamp_by_caller.items()):
+            if (
+                finish_stamp <= self._virtual_time
+                and caller not in self._waiting_by_caller
+            ):
+                del self._finish_stamp_by_caller[caller]
+
+    def _to_drop(self, request: QueuedRequest) -> QueuedRequest:
+        own = self._waiting_by_caller.get(request.caller, ())
+        max_excess = (len(own) + 1) / request.weight
+        dropped = request
         for queue in self._waiting_by_caller.values():
             excess = len(queue) / queue[0].weight
-            if excess > most:
-                most = excess
+            if excess > max_excess:
+                max_excess = excess
                 dropped = queue[-1]
         return dropped
--- a/src/caperridge/decisions/limit_share.py
+++ b/src/caperridge/decisions/limit_share.py
@@ -1,4 +1,4 @@
-"""Which part of a caller's limit on requests at once an instance may use."""
+"""Division of a caller's concurrency limit among the live instances."""
 
 from collections.abc import Iterable
 
@@ -8,11 +8,11 @@
 
 
 class LimitShare(Record):
-    """The place of one instance among those that share the limits.
+    """The share that one instance has in the limits of the installation.
 
     Attributes:
-        instances: live ones, this one included.
-        place: of this one in the order of their ids.
+        instances: number of live instances, including this one.
+        position: position of this one in the order of their ids.
     """
 
     __slots__ = ("instances", "position")
@@ -23,7 +23,7 @@
 
 
 def limit_share_of(instance: str, live: Iterable[str]) -> LimitShare:
-    """Return the seat of ``instance`` among ``live`` ones.
+    """Return the share of ``instance`` among the ``live`` instances.
 
     >>> limit_share_of("b", ["c", "a"])
     LimitShare(instances=3, position=1)
@@ -32,15 +32,16 @@
     return LimitShare(len(ordered), ordered.index(instance))
 
 
-def concurrency_share(caller: str, limit: int, seat: LimitShare) -> int:
-    """Return how many requests of ``caller`` may run at once at this seat.
+def concurrency_share(caller: str, limit: int, share: LimitShare) -> int:
+    """Return how many concurrent requests of ``caller`` this instance may run.
 
-    The shares add up to the limit. What does not divide goes to other seats for each
-    caller. A limit below the number of instances still gets one at each: a caller
-    cannot choose where its connections end, and none would find its few places.
+    The shares add up to the limit. The remainder of the division goes to different
+    instances for each caller. A limit below the number of instances still allows one
+    request at each, since a caller cannot choose the instance that its connection
+    reaches and could miss those with a slot.
     """
-    whole, rest = divmod(limit, seat.instances)
-    if not rest:
-        return whole
-    turned = seat.position + xxhash.xxh3_64_intdigest(caller.encode())
-    return max(1, whole + (turned % seat.instances < rest))
+    base, remainder = divmod(limit, share.instances)
+    if not remainder:
+        return base
+    rotated = share.position + xxhash.xxh3_64_intdigest(caller.encode())
+    return max(1, base + (rotated % share.instances < remainder))
--- a/src/caperridge/decisions/limits.py
+++ b/src/caperridge/decisions/limits.py
@@ -1,8 +1,8 @@
-"""Per-caller limits: requests a second, tokens a second, requests at once.
+"""Rate limiting by token buckets, and concurrency limits, per caller.
 
-A limit is declared for the whole installation. Each instance enforces its share,
-the limit divided by the live instances; see ``docs/design/online.md`` for what was
-weighed. Buckets of callers that have been idle long enough to be full are dropped.
+A limit is declared for the whole installation. Each instance enforces its share, the
+limit divided by the live instances; see ``docs/design/online.md`` for alternatives.
+Buckets of callers that have been idle long enough to be full are dropped.
 """
 
 from caperridge.config.model import Caller
@@ -19,12 +19,12 @@
 
 
 class OverLimit(Record):
-    """Why a caller's request is refused.
+    """The reason for which a caller's request is refused.
 
     Attributes:
-        code: which limit.
-        reason: a sentence for a person.
-        retry_after_s: when it would pass, as far as can be told.
+        code: code of the exceeded limit.
+        reason: human-readable sentence.
+        retry_after_s: estimated seconds until the request would be admitted.
     """
 
     __slots__ = ("code", "reason", "retry_after_s")
@@ -36,7 +36,7 @@
 
 
 class TokenBucket:
-    """A token bucket that fills as time passes."""
+    """A token bucket."""
 
     __slots__ = ("capacity", "level", "rate", "updated_at")
 
@@ -47,13 +47,13 @@
         self.updated_at = now
 
     def level_at(self, now: float) -> float:
-        """Return the level that the bucket has reached."""
+        """Return the level of the bucket at ``now``."""
         return min(
             self.capacity, self.level + self.rate * max(0.0, now - self.updated_at)
         )
 
     def refill(self, rate: float, now: float) -> None:
-        """Add what came since the last look; ``rate`` holds from now on."""
+        """Add the tokens since the last update; ``rate`` applies from now on."""
         self.level = self.level_at(now)
         self.updated_at = now
         self.rate = rate
@@ -61,7 +61,7 @@
 
 
 class CallerUsage:
-    """What one caller has used lately."""
+    """The recent usage of one caller."""
 
     __slots__ = ("requests", "running", "tokens")
 
@@ -79,94 +79,94 @@
         self._sweep_at = 0.0
 
     def admit(
-        self, caller: Caller, tokens: int, seat: LimitShare, now: float
+        self, caller: Caller, tokens: int, share: LimitShare, now: float
     ) -> OverLimit | None:
-        """Count a request in, or return why it is over a limit.
+        """Count a request as running, or return the limit that it exceeds.
 
         Args:
-            caller: with its declared limits.
-            tokens: that the request may use, prompt and answer.
-            seat: of this instance among those that share the limits.
+            caller: the caller with its declared limits.
+            tokens: tokens that the request may use, for prompt and answer.
+            share: this instance's share of the limits.
             now: monotonic seconds.
         """
         self._sweep(now)
-        state = self.usage_by_caller.get(caller.name)
-        if state is None:
-            state = self.usage_by_caller[caller.name] = CallerUsage()
-        over = self._exceeded_limit(state, caller, tokens, seat, now)
-        if over is not None:
-            return over
-        state.running += 1
-        if state.requests is not None:
-            state.requests.level -= 1.0
-        if state.tokens is not None:
-            state.tokens.level -= tokens
+        usage = self.usage_by_caller.get(caller.name)
+        if usage is None:
+            usage = self.usage_by_caller[caller.name] = CallerUsage()
+        exceeded = self._exceeded_limit(usage, caller, tokens, share, now)
+        if exceeded is not None:
+            return exceeded
+        usage.running += 1
+        if usage.requests is not None:
+            usage.requests.level -= 1.0
+        if usage.tokens is not None:
+            usage.tokens.level -= tokens
         return None
 
     def release(self, caller: str) -> None:
-        """Count a request out."""
-        state = self.usage_by_caller.get(caller)
-        if state is not None and state.running > 0:
-            state.running -= 1
+        """Count a request as finished."""
+        usage = self.usage_by_caller.get(caller)
+        if usage is not None and usage.running > 0:
+            usage.running -= 1
 
     def running(self, caller: str) -> int:
         """Return how many requests of ``caller`` are in flight."""
-        state = self.usage_by_caller.get(caller)
-        return 0 if state is None else state.running
+        usage = self.usage_by_caller.get(caller)
+        return 0 if usage is None else usage.running
 
     def _exceeded_limit(
         self,
-        state: CallerUsage,
+        usage: CallerUsage,
         caller: Caller,
         tokens: int,
-        seat: LimitShare,
+        share: LimitShare,
         now: float,
     ) -> OverLimit | None:
         if caller.most_running:
-            most = concurrency_share(caller.name, caller.most_running, seat)
-            if state.running >= most:
-                text = f"{state.running} requests of {caller.name} run at once"
+            limit = concurrency_share(caller.name, caller.most_running, share)
+            if usage.running >= limit:
+                text = f"{usage.running} requests of {caller.name} run at once"
                 return OverLimit(CONCURRENCY_LIMIT, text, 1.0)
-        state.requests, wait_s = _refill(
-            state.requests, caller.requests_per_s / seat.instances, 1.0, now
+        usage.requests, retry_after_s = _refill(
+            usage.requests, caller.requests_per_s / share.instances, 1.0, now
         )
-        if wait_s > 0:
+        if retry_after_s > 0:
             text = f"more than {caller.requests_per_s:g} requests a second"
-            return OverLimit(RATE_LIMIT, text, wait_s)
-        state.tokens, wait_s = _refill(
-            state.tokens, caller.tokens_per_s / seat.instances, tokens, now
+            return OverLimit(RATE_LIMIT, text, retry_after_s)
+        usage.tokens, retry_after_s = _refill(
+            usage.tokens, caller.tokens_per_s / share.instances, tokens, now
         )
-        if wait_s > 0:
+        if retry_after_s > 0:
             text = f"more than {caller.tokens_per_s:g} tokens a second"
-            return OverLimit(TOKEN_LIMIT, text, wait_s)
+            return OverLimit(TOKEN_LIMIT, text, retry_after_s)
         return None
 
     def _sweep(self, now: float) -> None:
         if now < self._sweep_at:
             return
         self._sweep_at = now + SWEEP_INTERVAL_S
-        for name, state in list(self.usage_by_caller.items()):
+        for name, usage in list(self.usage_by_caller.items()):
             if (
-                state.running
-                or _is_below_capacity(state.requests, now)
-                or _is_below_capacity(state.tokens, now)
+                usage.running
+                or _is_below_capacity(usage.requests, now)
+                or _is_below_capacity(usage.tokens, now)
             ):
                 continue
             del self.usage_by_caller[name]
 
 
 def _is_below_capacity(bucket: TokenBucket | None, now: float) -> bool:
-    # A dropped bucket comes back full, so it may go only once it is full.
+    # A dropped bucket is recreated full, so only a full one may be dropped.
     return bucket is not None and bucket.level_at(now) < bucket.capacity
 
 
 def _refill(
     bucket: TokenBucket | None, rate: float, needed: float, now: float
 ) -> tuple[TokenBucket | None, float]:
-    """Return the filled bucket and how long until ``needed`` is in it.
+    """Return the refilled bucket, and the seconds until it holds ``needed`` tokens.
 
-    A request that is larger than the bucket passes when the bucket is full and
-    leaves it in debt; otherwise it could never pass.
+    A request that is larger than the bucket passes when the bucket is full, and leaves
+    it with a negative level; otherwise it could never pass.
     """
     if rate <= 0:
         return None, 0.0
@@ -174,5 +174,5 @@
         bucket = TokenBucket(rate, now)
     bucket.refill(rate, now)
     missing = min(needed, bucket.capacity) - bucket.level
-    # Rounding must not keep a bucket that waited its time from passing.
+    # A rounding error must not refuse a request that has waited long enough.
     return bucket, (missing / rate if missing > ROUNDING_TOLERANCE else 0.0)
--- a/src/caperridge/decisions/links.py
+++ b/src/caperridge/decisions/links.py
@@ -1,10 +1,10 @@
-"""Which peers an instance keeps a stream to.
+"""Topology of the peer mesh: the peers to which an instance keeps a stream.
 
-All of the own availability zone, so that news of online load arrives in one hop. To
-each other zone a few, chosen by rendezvous hashing: a fixed number for each pair of
-zones however many instances they have, so the links of one instance shrink as its
-zone grows. Instances that seem dead are chosen last but not never, or two zones that
-were cut off from each other would not try again.
+An instance links to all peers of its own availability zone, so that updates of online
+load arrive in one hop. Links to other zones are chosen by rendezvous hashing: a fixed
+number for each pair of zones, however many instances they have, so the links of one
+instance shrink as its zone grows. Instances that seem dead rank last but are not
+excluded; otherwise two zones that were partitioned would never reconnect.
 """
 
 from collections.abc import Collection, Mapping
@@ -25,24 +25,24 @@
     """Return the peers that ``instance`` should have a stream to.
 
     Args:
-        instance: the own id.
-        availability_zone: the own one.
+        instance: id of this instance.
+        availability_zone: zone of this instance.
         known_by_zone: every instance that is not known to have left.
-        live: those that seem to live.
+        live: ids of the instances that seem to be live.
     """
     own_zone = set(known_by_zone.get(availability_zone, ())) | {instance}
     live = set(live) | {instance}
-    wanted = own_zone - {instance}
+    desired = own_zone - {instance}
     for zone, members in known_by_zone.items():
         if zone == availability_zone or not zone:
             continue
         if instance in linking_members(availability_zone, zone, own_zone, live):
-            wanted.update(linking_members(zone, availability_zone, members, live))
-    return wanted
+            desired.update(linking_members(zone, availability_zone, members, live))
+    return desired
 
 
 def links_for(membership: Membership) -> set[str]:
-    """Return the peers that the instance with this view should have a stream to."""
+    """Return the peers that the owner of this view should have a stream to."""
     return desired_links(
         membership.instance,
         membership.availability_zone,
@@ -54,7 +54,7 @@
 def linking_members(
     zone: str, other: str, members: Collection[str], live: Collection[str]
 ) -> list[str]:
-    """Return the members of ``zone`` that keep the links to ``other``."""
+    """Return the members of ``zone`` that maintain the links to ``other``."""
 
     def rank(member: str) -> tuple[bool, int, str]:
         score = xxhash.xxh3_64_intdigest(f"{member}\x00{zone}\x00{other}".encode())
--- a/src/caperridge/decisions/load_pacing.py
+++ b/src/caperridge/decisions/load_pacing.py
@@ -1,30 +1,28 @@
-"""Pacing loads to the weight store's rate, fleet-wide through one row a store.
+"""Fleet-wide pacing of model loads to the rate of a weight store.
 
-Runners that load at once share the store's rate, so that more of them at once only
-means more of them away at once. The row lists the loads under way; its version makes
-the check and the start of a load one step for all orderers.
+Runners that load concurrently share the store's rate, so more concurrent loads only
+take more runners out of service at once. One row per store lists the active loads;
+its version makes the check and the start of a load atomic for all orderers.
 """
 
 from typing import Any
 
 from caperridge.records import Record
 
-MAX_LOAD_TIME_FACTOR = (
-    4.0  # a load that takes so many times its share of the rate is given up
-)
+MAX_LOAD_TIME_FACTOR = 4.0  # times the expected duration; slower loads are abandoned
 LOAD_GRACE_S = 60.0
-MAX_LOADS = 2  # one reads while the next one drains
+MAX_LOADS = 2  # one reads while the next runner drains
 
 
 class Load(Record):
-    """One load under way.
+    """One active load.
 
     Attributes:
-        target: which runner.
-        service: what it serves.
-        gb: how much it reads.
-        at: when it began, in seconds since the epoch.
-        out: it is away from online meanwhile.
+        target: id of the runner.
+        service: service that it serves.
+        gb: gigabytes that it reads.
+        at: start time in seconds since the epoch.
+        out: whether the runner serves no online requests meanwhile.
     """
 
     __slots__ = ("at", "gb", "out", "service", "target")
@@ -40,32 +38,32 @@
 
 
 def parse_loads(value: dict[str, Any] | None) -> list[Load]:
-    """Return the loads that a row's fields list."""
+    """Return the loads listed in a row."""
     return [Load.from_map(fields) for fields in (value or {}).get("loads", [])]
 
 
 def active_loads(loads: list[Load], gb_per_s: float, now: float) -> list[Load]:
-    """Return ``loads`` without those whose orderer must have been lost."""
+    """Return ``loads`` without those whose orderer has presumably failed."""
     total = sum(load.gb for load in loads)
-    most_s = LOAD_GRACE_S + MAX_LOAD_TIME_FACTOR * total / gb_per_s
-    return [load for load in loads if now - load.at < most_s]
+    max_age_s = LOAD_GRACE_S + MAX_LOAD_TIME_FACTOR * total / gb_per_s
+    return [load for load in loads if now - load.at < max_age_s]
 
 
 def blocked_reason(loads: list[Load], wanted: Load, serving: list[str]) -> str:
-    """Return why ``wanted`` may not begin now; empty if it may.
+    """Return why ``wanted`` may not start now; empty if it may.
 
     Args:
-        loads: under way at the same store, without that of the wanted target.
-        wanted: which would begin.
-        serving: other targets of its service that answer online callers now.
+        loads: active loads at the same store, except at the wanted target.
+        wanted: the load to start.
+        serving: other targets of its service that serve online requests now.
     """
     if len(loads) >= MAX_LOADS:
         return f"{len(loads)} loads share the weight store already"
     if not wanted.out:
         return ""
-    busy = {load.target for load in loads if load.out}
+    loading = {load.target for load in loads if load.out}
     if any(load.service == wanted.service for load in loads if load.out):
         return f"another runner of {wanted.service} is away"
-    if any(target not in busy for target in serving):
+    if any(target not in loading for target in serving):
         return ""
     return f"it is the last runner of {wanted.service} that serves"
--- a/src/caperridge/decisions/loaded_book.py
+++ b/src/caperridge/decisions/loaded_book.py
@@ -1,4 +1,4 @@
-"""What each target holds, as its orderer says; routing leaves out what cannot serve."""
+"""The model loaded at each target as its orderer reports it, for use by routing."""
 
 from caperridge.config.model import Service
 from caperridge.decisions.reconcile import BATCH, Loaded
@@ -6,13 +6,13 @@
 
 
 class LoadedState(Record):
-    """What was last told of a target.
+    """The last report about a target.
 
     Attributes:
-        fence: the orderer's fencing number.
-        sequence: raised with each news of that orderer.
-        loaded: what the target holds.
-        held: it is about to load, and should get nothing new.
+        fence: the orderer's fencing token.
+        sequence: number that rises with each report of that orderer.
+        loaded: what the target has loaded.
+        held: whether it is about to load and should get no new work.
     """
 
     __slots__ = ("fence", "held", "loaded", "sequence")
@@ -27,23 +27,23 @@
 
 
 class LoadedStates:
-    """By target; one that nobody told of is taken to serve."""
+    """The last report by target; a target without a report is assumed to serve."""
 
     def __init__(self) -> None:
         self.by_target: dict[str, LoadedState] = {}
 
     def apply(self, target: str, state: LoadedState) -> bool:
-        """Take over news; return whether it was newer than what was known."""
+        """Apply a report; return whether it was newer than the known one."""
         known = self.by_target.get(target)
         if known is not None:
-            older = (state.fence, state.sequence) <= (known.fence, known.sequence)
-            if older:
+            stale = (state.fence, state.sequence) <= (known.fence, known.sequence)
+            if stale:
                 return False
         self.by_target[target] = state
         return True
 
     def retain(self, targets: set[str]) -> None:
-        """Forget targets that are no longer listed."""
+        """Remove all targets except ``targets``."""
         for target in list(self.by_target):
             if target not in targets:
                 del self.by_target[target]
--- a/src/caperridge/decisions/online_counts.py
+++ b/src/caperridge/decisions/online_counts.py
@@ -1,19 +1,17 @@
-"""How many online requests each instance has at each target, by their news.
+"""Counts of the online requests that each instance has at a target, with expiry.
 
-News may be lost, late or doubled. Each carries a sequence number of its sender; an
-older one is ignored. A sender repeats its news while it has requests in flight, so a
-count that is not repeated ends by itself.
+Updates may be lost, late or duplicated. Each carries a sequence number of its sender;
+an older one is ignored. A sender repeats its update while it has requests in flight, so
+a count that is not repeated expires.
 """
 
 from caperridge.records import Record
 
-COUNT_TTL_S = (
-    3.5  # a little more than three repeats of the news, which come each second
-)
+COUNT_TTL_S = 3.5  # slightly more than three repeats, which are sent once a second
 
 
 class SenderCount(Record):
-    """The newest word of one sender about one target."""
+    """The last update of one sender about one target."""
 
     __slots__ = ("expires_at", "in_flight", "sequence")
 
@@ -27,9 +25,9 @@
     """The counts of one target.
 
     >>> counts = OnlineCounts()
-    >>> counts.changed("entry-2", 3, sequence=8, now=0.0)
+    >>> counts.update("entry-2", 3, sequence=8, now=0.0)
     True
-    >>> counts.changed("entry-2", 9, sequence=7, now=0.1)
+    >>> counts.update("entry-2", 9, sequence=7, now=0.1)
     False
     >>> counts.total(0.2), counts.total(9.0)
     (3, 0)
@@ -45,12 +43,12 @@
     def update(
         self, sender: str, in_flight: int, sequence: int = 0, now: float = 0.0
     ) -> bool:
-        """Take over a sender's count; return whether the news was new.
+        """Apply a sender's count; return whether the update was new.
 
         Args:
             sender: the instance that has the requests.
             in_flight: how many it has at the target.
-            sequence: rises with each news of the sender; 0 if the news is of this
+            sequence: rises with each update of the sender; 0 for an update of this
                 process, which needs no order and does not expire.
             now: monotonic seconds.
         """
@@ -61,7 +59,7 @@
                 return False
             self._total -= known.in_flight
         expires_at = now + COUNT_TTL_S if sequence else float("inf")
-        # A zero is kept as well: its sequence number bars older news.
+        # A zero is stored as well, since its sequence number rejects older updates.
         count = SenderCount(in_flight, sequence, expires_at)
         self._counts_by_sender[sender] = count
         self._total += in_flight
@@ -69,18 +67,18 @@
         return True
 
     def remove(self, sender: str) -> None:
-        """Forget a sender that is no longer live."""
+        """Remove a sender that is no longer live."""
         known = self._counts_by_sender.pop(sender, None)
         if known is not None:
             self._total -= known.in_flight
 
     def total(self, now: float) -> int:
-        """Return the online requests at the target, by all that is known."""
+        """Return the known number of online requests at the target."""
         self._expire(now)
         return self._total
 
     def senders(self) -> list[str]:
-        """Return the senders known, sorted."""
+        """Return the known senders, sorted."""
         return sorted(self._counts_by_sender)
 
     def _expire(self, now: float) -> None:
--- a/src/caperridge/decisions/patience.py
+++ b/src/caperridge/decisions/patience.py
@@ -1,8 +1,8 @@
-"""How long to wait for a target's next event before moving away from it.
+"""Adaptive time-outs for the events of a target, after which a request is moved.
 
-The limit follows a percentile of what was seen, so that a hung target is left early
-while a fleet that is merely busy is not made busier by moves. A limit that ran out
-counts as seen: when many run out, the limit rises.
+The time-out follows a percentile of the observed times, so that a hung target is left
+early, while moves do not add load to a fleet that is merely busy. An expired time-out
+counts as an observation: if many expire, the time-out rises.
 """
 
 from bisect import insort
@@ -13,14 +13,14 @@
 
 
 class AdaptiveTimeout:
-    """The limit for one kind of event of one service, in seconds.
+    """The time-out for one kind of event of one service, in seconds.
 
     Args:
-        quantile: of the times seen that counts as usual.
-        factor: how many times the usual is too long.
-        least_s: lower bound of the limit.
-        most_s: upper bound of the limit.
-        cold_s: the limit while little was seen.
+        quantile: quantile of the observed times.
+        factor: multiple of that quantile that is too long.
+        min_s: lower bound of the time-out.
+        max_s: upper bound of the time-out.
+        initial_s: time-out while there are few observations.
     """
 
     __slots__ = (
@@ -50,14 +50,14 @@
         self._sorted: list[float] = []
 
     def record(self, seconds: float) -> None:
-        """Take in one time that was seen, or the limit that ran out."""
+        """Record an observed time, or a time-out that expired."""
         self._newest.append(seconds)
         insort(self._sorted, seconds)
         if len(self._newest) > WINDOW_SAMPLES:
             self._sorted.remove(self._newest.popleft())
 
     def timeout_s(self) -> float:
-        """Return the limit."""
+        """Return the current time-out."""
         if len(self._sorted) < MIN_SAMPLES:
             return self._initial_s
         index = int(len(self._sorted) * self._quantile)
@@ -66,13 +66,13 @@
 
 
 def first_event_timeout() -> AdaptiveTimeout:
-    """Return the patience for first events.
+    """Return the time-out for first events.
 
-    The cold limit leaves time for a second try within the aim of 1.8 s.
+    Its initial value leaves time for a second attempt within the objective of 1.8 s.
     """
     return AdaptiveTimeout(0.95, 3.0, min_s=0.25, max_s=30.0, initial_s=1.2)
 
 
 def inter_event_timeout() -> AdaptiveTimeout:
-    """Return the patience between events; an engine pauses to prefill for others."""
+    """Return the time-out between events; engines pause to prefill other prompts."""
     return AdaptiveTimeout(0.95, 10.0, min_s=0.5, max_s=10.0, initial_s=2.0)
--- a/src/caperridge/decisions/preemption.py
+++ b/src/caperridge/decisions/preemption.py
@@ -1,8 +1,8 @@
-"""Which batch streams give way: the cheapest to redo first, none for ever.
+"""Selection of the batch streams to preempt: cheapest to resume first, no starvation.
 
-The tokens of a stream are kept, but when it is resumed they are prefilled like its
-prompt; so the least progress costs least. An item that gave way often is protected
-while there are others.
+The tokens of a preempted stream are kept, but on resumption they are prefilled like its
+prompt, so the stream with the least progress costs the least. An item that was
+preempted often is protected while there are others.
 """
 
 from collections.abc import Iterable
@@ -16,11 +16,12 @@
     """A batch stream that runs at a target.
 
     Attributes:
-        attempt: its id.
-        target: where it runs.
-        tokens: its progress so far.
-        preemptions: how often its item gave way before.
-        ending: its last token is in the making: its place is free one step on.
+        attempt: id of the attempt.
+        target: id of its target.
+        tokens: tokens generated so far.
+        preemptions: number of earlier preemptions of its item.
+        ending: whether its last token is being generated, so that its slot is free
+            after the next step.
     """
 
     __slots__ = ("attempt", "ending", "preemptions", "target", "tokens")
@@ -41,7 +42,7 @@
 
 
 def preemption_victims(running: Iterable[BatchStream], count: int) -> list[BatchStream]:
-    """Return ``count`` streams to preempt, in the order in which they go.
+    """Return ``count`` streams to preempt, in order of preemption.
 
     >>> streams = [BatchStream("old", "t", 9), BatchStream("new", "t", 1, 3)]
     >>> [stream.attempt for stream in preemption_victims(streams, 1)]
@@ -54,6 +55,6 @@
 
 def _order(stream: BatchStream) -> tuple[bool, int, int, str]:
     protected = stream.preemptions >= PROTECTION_THRESHOLD
-    # Among the protected, who gave way least often goes first, and so on in turn.
-    turns = stream.preemptions if protected else 0
-    return protected, turns, stream.tokens, stream.attempt
+    # Protected items are preempted in rounds: the least often preempted one first.
+    rounds = stream.preemptions if protected else 0
+    return protected, rounds, stream.tokens, stream.attempt
--- a/src/caperridge/decisions/rates.py
+++ b/src/caperridge/decisions/rates.py
@@ -1,11 +1,11 @@
-"""How many items of a service end each second here, as far as seen."""
+"""Throughput of items as an exponentially decaying average."""
 
 HALF_LIFE_S = 5.0
 LN2 = 0.6931471805599453
 
 
 class RateMeter:
-    """An average that forgets: what ended long ago counts little.
+    """A rate per second with exponential decay.
 
     >>> meter = RateMeter()
     >>> meter.start(0.0)
@@ -21,17 +21,17 @@
         self._at: float | None = None
 
     def record(self, items: int, now: float) -> None:
-        """Note ``items`` that ended at ``now``."""
+        """Record ``items`` that finished at ``now``."""
         self._decay(now)
         self._weighted += items
 
     def start(self, now: float) -> None:
-        """Begin to count time, if nothing was noted yet."""
+        """Start the clock, if nothing was recorded yet."""
         if self._at is None:
             self._at = now
 
     def per_s(self, now: float) -> float:
-        """Return the average; 0 before the first second is over."""
+        """Return the items per second; 0 during about the first second."""
         self._decay(now)
         if self._weight_s < 0.9:
             return 0.0
@@ -41,8 +41,10 @@
         if self._at is None:
             self._at = now
             return
-        passed = now - self._at
+        elapsed_s = now - self._at
         self._at = now
-        kept = 0.5 ** (passed / HALF_LIFE_S)
-        self._weighted *= kept
-        self._weight_s = self._weight_s * kept + (1.0 - kept) * HALF_LIFE_S / LN2
+        retained = 0.5 ** (elapsed_s / HALF_LIFE_S)
+        self._weighted *= retained
+        self._weight_s = (
+            self._weight_s * retained + (1.0 - retained) * HALF_LIFE_S / LN2
+        )
--- a/src/caperridge/decisions/relay_choice.py
+++ b/src/caperridge/decisions/relay_choice.py
@@ -1,7 +1,7 @@
-"""Which peer is asked to call the platform for an instance that is cut off from it.
+"""Selection of the peer that relays platform calls of a partitioned instance.
 
-One in another availability zone first, since a cut mostly hits a whole zone. A peer
-that could not help sits out for a while, longer each time.
+Peers in other availability zones come first, since a partition mostly affects a whole
+zone. A peer that failed is skipped for a cooldown with exponential backoff.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,11 +15,11 @@
 
 
 class RelaySelector:
-    """Remembers who could help.
+    """Selects relays and tracks their failures.
 
     Args:
-        instance: the own id.
-        availability_zone: the own one.
+        instance: id of this instance.
+        availability_zone: zone of this instance.
     """
 
     def __init__(self, instance: str, availability_zone: str) -> None:
@@ -35,12 +35,12 @@
         excluded: Iterable[str],
         now: float,
     ) -> str | None:
-        """Return whom to ask; None if there is nobody.
+        """Return the peer to ask; None if there is none.
 
         Args:
-            zones_by_id: the connected peers and where they run.
-            calls_by_id: calls that wait for an answer of each.
-            excluded: those that were asked already.
+            zones_by_id: zones of the connected peers.
+            calls_by_id: number of pending calls at each peer.
+            excluded: peers that were asked already.
             now: monotonic seconds.
         """
         best: tuple[bool, int, str] | None = None
@@ -53,12 +53,12 @@
         return None if best is None else best[2]
 
     def record_success(self, peer: str) -> None:
-        """Note that ``peer`` reaches the platform."""
+        """Record that ``peer`` reaches the platform."""
         self._failures_by_id.pop(peer, None)
         self._cooldown_until_by_id.pop(peer, None)
 
     def record_failure(self, peer: str, now: float) -> None:
-        """Note that ``peer`` could not help."""
+        """Record that ``peer`` could not relay a call."""
         failures = self._failures_by_id.get(peer, 0) + 1
         self._failures_by_id[peer] = failures
         self._cooldown_until_by_id[peer] = now + backoff_s(
@@ -66,9 +66,9 @@
         )
 
     def peers_to_connect(self, live_by_zone: Mapping[str, Iterable[str]]) -> list[str]:
-        """Return peers elsewhere that this instance should have streams to.
+        """Return peers in other zones that this instance should have streams to.
 
-        Each instance of a zone that is cut off gets others, so that the load spreads.
+        Each instance of a partitioned zone gets different peers, to spread the load.
         """
         zones = set(live_by_zone) - {self._availability_zone, ""}
         chosen: list[str] = []
--- a/src/caperridge/decisions/rendezvous.py
+++ b/src/caperridge/decisions/rendezvous.py
@@ -1,8 +1,7 @@
-"""Rendezvous hashing: who among the live members looks after a key.
+"""Rendezvous hashing: the owner of a key among the live members.
 
-Every member computes the same answer from the same view; when one goes, only its
-keys move. Two views for a moment mean two owners for a moment, which whatever uses
-this must bear.
+Members with the same view compute the same owner, and when a member leaves, only its
+keys move. While views differ, a key can have two owners, which callers must tolerate.
 """
 
 from collections.abc import Iterable
@@ -11,7 +10,7 @@
 
 
 def owner(key: str, members: Iterable[str]) -> str | None:
-    """Return the member that looks after ``key``; None if there are no members.
+    """Return the member that owns ``key``; None if there are no members.
 
     >>> owner("runner-1", ["a", "b", "c"]) == owner("runner-1", ["c", "a", "b"])
     True
@@ -19,12 +18,14 @@
     best: str | None = None
     best_score = -1
     for member in members:
-        own = score(key, member)
-        if own > best_score or (own == best_score and member > (best or "")):
-            best, best_score = member, own
+        own_score = score(key, member)
+        if own_score > best_score or (
+            own_score == best_score and member > (best or "")
+        ):
+            best, best_score = member, own_score
     return best
 
 
 def score(key: str, member: str) -> int:
-    """Return how well ``member`` fits ``key``; the highest looks after it."""
+    """Return the score of ``member`` for ``key``; the highest score owns the key."""
     return xxhash.xxh3_64_intdigest(f"{member}\x00{key}".encode())
--- a/src/caperridge/decisions/retry_budget.py
+++ b/src/caperridge/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""A retry budget: retries stay a small share of the calls, whatever fails.
+"""Retry budget: limits retries to a small ratio of the calls.
 
 Without it, a fleet that fails from overload gets several times its load in retries.
 """
@@ -8,10 +8,10 @@
 
 
 class RetryBudget:
-    """Each call pays in a share; each retry that may double work takes one.
+    """Each call deposits a fraction; each retry that may repeat work takes one.
 
-    A stream that has begun may overdraw the budget: to cut an answer that the caller
-    reads already is the worst that a refusal can do.
+    The retry of a stream that has started may overdraw the budget, since cutting off an
+    answer that the caller is reading is the worst refusal.
 
     >>> budget = RetryBudget(ratio=0.5, max_burst=1.0)
     >>> budget.take(), budget.take(), budget.take(started=True)
@@ -22,8 +22,8 @@
     True
 
     Args:
-        share: retries for each call, in the long run.
-        most: retries that may follow at once after a quiet time.
+        ratio: retries per call in the long run.
+        max_burst: retries that may be made at once after an idle period.
     """
 
     __slots__ = ("_max_burst", "_ratio", "level")
@@ -36,17 +36,17 @@
         self.level = max_burst
 
     def deposit(self) -> None:
-        """Note one call."""
+        """Record one call."""
         self.level = min(self._max_burst, self.level + self._ratio)
 
     def take(self, started: bool = False) -> bool:
-        """Return whether one retry is left, and take it.
+        """Take one retry; return whether the budget allowed it.
 
         Args:
-            started: the caller has seen a part of the answer.
+            started: whether the caller has received a part of the answer.
         """
-        least = 1.0 - self._max_burst if started else 1.0
-        if self.level < least:
+        min_level = 1.0 - self._max_burst if started else 1.0
+        if self.level < min_level:
             return False
         self.level -= 1.0
         return True
--- a/src/caperridge/decisions/service_policy.py
+++ b/src/caperridge/decisions/service_policy.py
@@ -1,4 +1,4 @@
-"""What is learnt of one service: its retry budget, and how long to wait for it."""
+"""Per-service retry budget and adaptive time-outs for attempts."""
 
 from caperridge.decisions.patience import (
     AdaptiveTimeout,
@@ -8,17 +8,17 @@
 from caperridge.decisions.retry_budget import RetryBudget
 from caperridge.records import Record
 
-PREFILL_TIMEOUT_S_PER_TOKEN = 0.0002  # for one token of the prompt
-EXPECTED_WAIT_FACTOR = 3.0  # times the expected wait
+PREFILL_TIMEOUT_S_PER_TOKEN = 0.0002  # of the prompt
+EXPECTED_WAIT_FACTOR = 3.0
 UNREPEATABLE_FIRST_EVENT_S = 30.0
 UNREPEATABLE_INTER_EVENT_S = 10.0
-MIN_SOLE_TARGET_TIMEOUT_S = 2.0  # least patience with a target that has no alternative
+MIN_SOLE_TARGET_TIMEOUT_S = 2.0  # for a target without an alternative
 RETRY_RATIO = 0.2
 MAX_RETRY_BURST = 64.0  # at once; a lost runner moves all its streams together
 
 
 class EventTimeouts(Record):
-    """How long one attempt may be silent before and between its events, in seconds."""
+    """Seconds that an attempt may be silent before its first and between its events."""
 
     __slots__ = ("between_s", "first_s")
 
@@ -28,7 +28,7 @@
 
 
 class ServicePolicy:
-    """The retry budget and the patience of one service."""
+    """The retry budget and the time-outs of one service."""
 
     __slots__ = ("first_event", "inter_event", "retry_budget")
 
@@ -40,21 +40,22 @@
     def timeouts(
         self, failed: int, tokens: int, expected_wait_s: float, sole_target: bool
     ) -> EventTimeouts:
-        """Return the limits of the next attempt of a repeatable request.
+        """Return the time-outs of the next attempt of a repeatable request.
 
         Args:
-            failed: attempts of the request that failed.
-            tokens: to be prefilled.
-            expected_wait_s: at the target; its length says nothing against it.
-            sole_target: there is no other target. To give a slow one up early then only
-                turns a late answer into none.
+            failed: number of failed attempts of the request.
+            tokens: number of tokens to prefill.
+            expected_wait_s: expected queueing time at the target, which is no sign of a
+                hung target.
+            sole_target: whether there is no other target. Abandoning a slow one early
+                would then only turn a late answer into no answer.
 
         >>> policy = ServicePolicy()
         >>> timeouts = policy.timeouts(0, 0, 0.0, sole_target=True)
         >>> timeouts.between_s >= MIN_SOLE_TARGET_TIMEOUT_S
         True
         """
-        # Each move doubles the patience: if all are slow, moving does not help.
+        # Each move doubles the time-outs: moving does not help if all targets are slow.
         first_s = self.first_event.timeout_s() * 2**failed
         first_s += PREFILL_TIMEOUT_S_PER_TOKEN * tokens
         first_s += EXPECTED_WAIT_FACTOR * expected_wait_s
--- a/src/caperridge/decisions/step_time.py
+++ b/src/caperridge/decisions/step_time.py
@@ -1,29 +1,28 @@
-"""How long a step of a target takes by how many streams run in it, as learnt.
-
-Each step in which any stream of the target gets a token is one observation. Steps
-that also prefill a prompt are longer; a median for each level leaves them out. The
-levels are then fitted by a line, since a decode step grows about linearly with its
-streams. Levels that lie close together say little about the slope and much about
-noise, so the fit leans to a slope that is usual for engines until levels far apart
-are known.
+"""Linear regression of a target's step time on its number of concurrent streams.
+
+Each step in which a stream of the target gets a token is one observation. Steps that
+also prefill a prompt are longer; the median for each level of concurrency excludes
+them. A line is fitted to the medians, since the time of a decode step grows about
+linearly with its streams. Levels close together determine the slope poorly, so the fit
+is regularised by a prior slope, usual for engines, until distant levels are known.
 """
 
 from collections import deque
 
 from caperridge.records import Record
 
-MAX_SAMPLES_PER_LEVEL = 32  # kept for each level
-MIN_SAMPLES = 4  # before a level counts
-SAME_STEP_RATIO = 0.5  # of a step: what comes sooner after a sample is of the same step
+MAX_SAMPLES_PER_LEVEL = 32
+MIN_SAMPLES = 4  # before a level is used
+SAME_STEP_RATIO = 0.5  # of a step; tokens that arrive sooner belong to the same step
 MAX_SAMPLE_AGE_S = 300.0
 FIT_INTERVAL_S = 0.25
 MIN_BASE_RATIO = 0.1  # of the mean step
 PRIOR_SLOPE_RATIO = 0.005  # of a step, for each stream
-PRIOR_WEIGHT = 1000.0  # as of so many samples, each one stream off the mean
+PRIOR_WEIGHT = 1000.0  # in samples that are one stream off the mean
 
 
 class LinearFit(Record):
-    """``base_s + stream_s * streams``."""
+    """A linear model of the step time: ``base_s + stream_s * streams``."""
 
     __slots__ = ("base_s", "stream_s")
 
@@ -32,12 +31,12 @@
         self.stream_s = stream_s
 
     def at(self, streams: float) -> float:
-        """Return the length of a step with ``streams``."""
+        """Return the seconds of a step with ``streams`` streams."""
         return self.base_s + self.stream_s * streams
 
 
 class StepTimeModel:
-    """Learns the step time of one target.
+    """Estimates the step time of one target.
 
     >>> steps = StepTimeModel()
     >>> for streams in (1, 33, 65):
@@ -57,10 +56,10 @@
         self._line: LinearFit | None = None
 
     def observe(self, streams: int, step_s: float, now: float) -> None:
-        """Add the time between two tokens while ``streams`` ran.
+        """Add the time between two tokens while ``streams`` streams ran.
 
-        All streams of a step report it. It counts once, so that the samples of a
-        level are of many steps and not of the last one.
+        All streams of a step report its time. It is counted once, so that the samples
+        of a level cover many steps rather than the last one.
         """
         samples = self._samples_by_streams.get(streams)
         if samples is None:
@@ -100,18 +99,19 @@
 
 
 def _least_squares(points: list[tuple[int, float, int]]) -> LinearFit:
-    """Return the line through ``(streams, step_s, weight)``, never a falling one."""
+    """Return the weighted fit of ``(streams, step_s, weight)`` with a slope >= 0."""
     total = sum(weight for _, _, weight in points)
     mean_streams = sum(streams * weight for streams, _, weight in points) / total
     mean_step = sum(step_s * weight for _, step_s, weight in points) / total
     spread = sum(w * (streams - mean_streams) ** 2 for streams, _, w in points)
-    both = sum(
+    covariance = sum(
         w * (streams - mean_streams) * (step_s - mean_step)
         for streams, step_s, w in points
     )
-    usual = PRIOR_WEIGHT * PRIOR_SLOPE_RATIO * mean_step
-    stream_s = max(0.0, (both + usual) / (spread + PRIOR_WEIGHT))
-    # Long prompts come with many streams and look like a slope; a step has a base.
-    steepest = (1 - MIN_BASE_RATIO) * mean_step / max(1.0, mean_streams)
-    stream_s = min(stream_s, steepest)
+    prior = PRIOR_WEIGHT * PRIOR_SLOPE_RATIO * mean_step
+    stream_s = max(0.0, (covariance + prior) / (spread + PRIOR_WEIGHT))
+    # Long prompts coincide with many streams and would be taken for a slope, but each
+    # step has a base time.
+    max_slope = (1 - MIN_BASE_RATIO) * mean_step / max(1.0, mean_streams)
+    stream_s = min(stream_s, max_slope)
     return LinearFit(mean_step - stream_s * mean_streams, stream_s)
--- a/src/caperridge/decisions/turn_rate.py
+++ b/src/caperridge/decisions/turn_rate.py
@@ -1,8 +1,8 @@
-"""How fast those who wait for a service get their turn.
+"""Estimate of the rate at which the queue of a service is drained.
 
-Turns come in clumps, because requests that start together end together. A mean over
-the newest turns sees only the clump, so turns are counted against the time in which
-somebody waited, both fading with that time.
+Requests are dequeued in bursts, because requests that start together finish together.
+A mean over the latest ones would see only a burst, so they are divided by the time in
+which the queue was not empty, and both decay exponentially with that time.
 """
 
 from math import exp
@@ -12,7 +12,7 @@
 
 
 class DequeueRate:
-    """The rate of turns of one queue.
+    """The dequeue rate of one queue.
 
     >>> rate = DequeueRate()
     >>> rate.observe(0.0, waiting=True)
@@ -22,35 +22,35 @@
     0.3
     """
 
-    __slots__ = ("_at", "_seconds", "_turns", "_waiting")
+    __slots__ = ("_at", "_dequeued", "_seconds", "_waiting")
 
     def __init__(self) -> None:
         self._at = 0.0
         self._seconds = 0.0
-        self._turns = 0.0
+        self._dequeued = 0.0
         self._waiting = False
 
     def observe(self, now: float, waiting: bool) -> None:
-        """Note whether somebody waits from ``now`` on."""
+        """Record whether requests wait from ``now`` on."""
         if self._waiting:
-            kept = exp(-max(0.0, now - self._at) / DECAY_S)
-            self._seconds = self._seconds * kept + DECAY_S * (1.0 - kept)
-            self._turns *= kept
+            retained = exp(-max(0.0, now - self._at) / DECAY_S)
+            self._seconds = self._seconds * retained + DECAY_S * (1.0 - retained)
+            self._dequeued *= retained
         self._at = now
         self._waiting = waiting
 
     def record_dequeue(self, now: float, waiting: bool) -> None:
-        """Note that one got its turn, and whether others still wait."""
+        """Record that a request was dequeued, and whether others still wait."""
         self.observe(now, waiting)
-        self._turns += 1.0
+        self._dequeued += 1.0
 
     def interval_s(self, now: float) -> float:
-        """Return the seconds for one turn; 0 while too little is known.
+        """Return the seconds per dequeued request; 0 while too little is known.
 
-        The turn that is under way counts as one, so that a service that gives none
-        is known for slow without being given up for good.
+        The next request counts as one, so that a service that dequeues none is seen as
+        slow, but with a finite estimate.
         """
         self.observe(now, self._waiting)
         if self._seconds < MIN_OBSERVED_S:
             return 0.0
-        return self._seconds / (self._turns + 1.0)
+        return self._seconds / (self._dequeued + 1.0)
--- a/src/caperridge/decisions/unserved.py
+++ b/src/caperridge/decisions/unserved.py
@@ -1,12 +1,12 @@
-"""Which services this instance can no longer work for, so that others should."""
+"""Detection of services without targets, whose chunks go back to other instances."""
 
 from collections.abc import Mapping
 
-UNSERVED_GRACE_S = 3.0  # views of who dispatches for a target differ for less than that
+UNSERVED_GRACE_S = 3.0  # views of a target's dispatcher differ for less than this
 
 
 class UnservedServices:
-    """Since when an instance that holds chunks of a service has no target of it.
+    """Tracks for how long services with chunks at this instance have had no target.
 
     >>> unserved = UnservedServices()
     >>> unserved.due({"chat": False, "tags": True}, now=0.0)
@@ -24,7 +24,7 @@
         """Return the services whose chunks are to be given back.
 
         Args:
-            served_by_service: whether there is a target, by services with chunks.
+            served_by_service: whether there is a target, for services with chunks.
             now: monotonic seconds.
         """
         due: list[str] = []
--- a/tests/online/test_requests.py
+++ b/tests/online/test_requests.py
@@ -265,7 +265,7 @@
 
 
 def test_a_full_queue_is_shared_by_weight() -> None:
-    queue = FairQueue(most_waiting=40)
+    queue = FairQueue(max_waiting=40)
     for number in range(60):
         queue.push(QueuedRequest(f"h{number}", "heavy", 3.0, 1e9))
         queue.push(QueuedRequest(f"l{number}", "light", 1.0, 1e9))
