--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load, without a network."""
+"""Tests of decisions under load, without a network."""
--- a/tests/policy/test_quarantine.py
+++ b/tests/policy/test_quarantine.py
@@ -1,8 +1,9 @@
-"""Which requests are kept from targets, and which are not, decided without a network.
+"""Quarantine of requests that crash their targets, without a network.
 
-The pattern: a request that ends each target it runs at comes again every 0.3 s, at any
-instance. Two to ten others are at each target that it ends, of any age up to a second;
-it has made no event and is about 0.1 s old. Those figures are of an incident's record.
+Guards against the pattern of an incident: a request that crashes each of its targets is
+repeated every 0.3 s, at any instance. Two to ten other requests of any age up to a
+second run at each target that crashes; the fatal one has no event and is about 0.1 s
+old.
 """
 
 import pytest
@@ -30,28 +31,30 @@
 
 
 class Fleet:
-    """A quarantine whose targets end one after the other."""
+    """A quarantine whose targets crash one after the other."""
 
     def __init__(self) -> None:
         self.quarantine = Quarantine()
         self.now = 100.0
         self.targets = 0
 
-    def end(self, *runs: LostRun, reported_by: str = "e-0") -> None:
-        """End one target with these runs, and let it be judged."""
+    def crash(self, *runs: LostRun, reported_by: str = "e-0") -> None:
+        """Crash one target with these runs, and evaluate the crash."""
         self.targets += 1
         self.quarantine.record_crash(f"t-{self.targets}", runs, self.now, reported_by)
-        self.judge()
+        self.evaluate()
 
-    def judge(self) -> list[str]:
-        """Let what was told settle; return what is held from now on."""
+    def evaluate(self) -> list[str]:
+        """Wait until all reports arrived; return the newly quarantined contents."""
         self.now += SETTLE_S
         return [one.content for one in self.quarantine.evaluate(self.now)]
 
-    def sound(self, content: str, caller: str = "caller", ago_s: float = 0.0) -> None:
+    def record_good_run(
+        self, content: str, caller: str = "caller", ago_s: float = 0.0
+    ) -> None:
         self.quarantine.record_good_run(content, caller, self.now - ago_s, self.now)
 
-    def is_held(self, content: str, caller: str = "caller") -> bool:
+    def is_quarantined(self, content: str, caller: str = "caller") -> bool:
         return self.quarantine.hold_for(content, caller) is not None
 
 
@@ -62,10 +65,10 @@
 
 def test_enough_ends_put_a_request_in_quarantine_and_no_other(fleet: Fleet) -> None:
     for number in range(QUARANTINE_THRESHOLD):
-        assert not fleet.is_held("fatal")
-        fleet.end(bystander(f"sound-{number}"), FATAL)
+        assert not fleet.is_quarantined("fatal")
+        fleet.crash(bystander(f"sound-{number}"), FATAL)
         fleet.now += 0.3
-    assert fleet.is_held("fatal")
+    assert fleet.is_quarantined("fatal")
     assert [one.content for one in fleet.quarantine.quarantined()] == ["fatal"]
 
 
@@ -73,57 +76,57 @@
     for instance in ("e-0", "e-1", "e-2"):
         fleet.quarantine.record_crash("t", [FATAL], fleet.now, instance)
         fleet.now += 0.004
-    fleet.judge()
-    assert not fleet.is_held("fatal")
+    fleet.evaluate()
+    assert not fleet.is_quarantined("fatal")
 
 
 def test_a_target_that_ends_again_under_its_name_counts_again(fleet: Fleet) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
         fleet.quarantine.record_crash("t", [FATAL], fleet.now, "e-0")
         fleet.now += 4.0
-    fleet.judge()
-    assert fleet.is_held("fatal")
+    fleet.evaluate()
+    assert fleet.is_quarantined("fatal")
 
 
 @pytest.mark.parametrize("victim_first", [True, False])
 def test_who_was_moved_into_the_same_ends_is_not_to_blame(
     fleet: Fleet, victim_first: bool
 ) -> None:
-    """A stream that goes on elsewhere is at the next end, too, and had made events."""
+    """A stream that is moved is at the next crash as well, but has produced events."""
     victim = LostRun("moved", "caller", 0.3, 12)
     runs = [victim, FATAL] if victim_first else [FATAL, victim]
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(*runs)
+        fleet.crash(*runs)
         fleet.now += 0.3
-    assert fleet.is_held("fatal")
-    assert not fleet.is_held("moved")
-    fleet.end(victim)
-    assert not fleet.is_held("moved")
+    assert fleet.is_quarantined("fatal")
+    assert not fleet.is_quarantined("moved")
+    fleet.crash(victim)
+    assert not fleet.is_quarantined("moved")
 
 
 def test_the_word_of_another_instance_may_come_a_little_later(fleet: Fleet) -> None:
     victim = LostRun("moved", "caller", 0.3, 12)
     for _ in range(QUARANTINE_THRESHOLD - 1):
-        fleet.end(victim, FATAL)
+        fleet.crash(victim, FATAL)
         fleet.now += 0.3
     fleet.quarantine.record_crash("last", [victim], fleet.now, "e-0")
     fleet.now += SETTLE_S / 2
     fleet.quarantine.evaluate(fleet.now)
     fleet.quarantine.record_crash("last", [FATAL], fleet.now, "e-1")
-    assert fleet.judge() == ["fatal"]
-    assert not fleet.is_held("moved")
+    assert fleet.evaluate() == ["fatal"]
+    assert not fleet.is_quarantined("moved")
 
 
 def test_a_popular_request_is_not_blamed_for_targets_that_end_by_themselves(
     fleet: Fleet,
 ) -> None:
     for _ in range(20):
-        fleet.sound("popular")
-        fleet.end(bystander("popular"))
+        fleet.record_good_run("popular")
+        fleet.crash(bystander("popular"))
         fleet.now += 0.5
-        fleet.sound("popular")
+        fleet.record_good_run("popular")
         fleet.now += 1.0
-        assert not fleet.is_held("popular")
+        assert not fleet.is_quarantined("popular")
 
 
 def test_a_popular_request_is_not_blamed_when_several_targets_end_at_once(
@@ -133,8 +136,8 @@
         fleet.quarantine.record_crash(
             f"t-{number}", [bystander("popular")], fleet.now, "e-0"
         )
-    fleet.sound("popular", ago_s=0.7)
-    assert fleet.judge() == []
+    fleet.record_good_run("popular", ago_s=0.7)
+    assert fleet.evaluate() == []
 
 
 def test_one_whose_headers_change_is_not_blamed_when_several_end_at_once(
@@ -143,122 +146,124 @@
     for number in range(QUARANTINE_THRESHOLD + 1):
         run = LostRun("popular", f"headers-{number}", 0.4, 18)
         fleet.quarantine.record_crash(f"t-{number}", [run], fleet.now, "e-0")
-    fleet.sound("popular", "headers-9", ago_s=0.7)
-    assert fleet.judge() == []
+    fleet.record_good_run("popular", "headers-9", ago_s=0.7)
+    assert fleet.evaluate() == []
 
 
 def test_word_of_a_good_run_shortly_before_ends_a_hold(fleet: Fleet) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(bystander("popular"))
-    assert fleet.is_held("popular")
-    fleet.sound("popular", ago_s=2.0)
-    assert not fleet.is_held("popular")
+        fleet.crash(bystander("popular"))
+    assert fleet.is_quarantined("popular")
+    fleet.record_good_run("popular", ago_s=2.0)
+    assert not fleet.is_quarantined("popular")
 
 
 def test_a_request_that_ran_well_long_ago_can_be_to_blame(fleet: Fleet) -> None:
-    fleet.end(FATAL)
-    fleet.sound("fatal")
+    fleet.crash(FATAL)
+    fleet.record_good_run("fatal")
     fleet.now += GOOD_RUN_TTL_S
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL)
-    assert fleet.is_held("fatal")
+        fleet.crash(FATAL)
+    assert fleet.is_quarantined("fatal")
 
 
 def test_another_caller_of_the_same_is_served(fleet: Fleet) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL)
-    assert fleet.is_held("fatal", "caller")
-    assert not fleet.is_held("fatal", "another")
+        fleet.crash(FATAL)
+    assert fleet.is_quarantined("fatal", "caller")
+    assert not fleet.is_quarantined("fatal", "another")
 
 
 def test_a_request_whose_headers_change_is_known_all_the_same(fleet: Fleet) -> None:
     for number in range(QUARANTINE_THRESHOLD):
-        fleet.end(LostRun("fatal", f"headers-{number}", 0.1, 0))
-    assert fleet.is_held("fatal", "headers-9")
+        fleet.crash(LostRun("fatal", f"headers-{number}", 0.1, 0))
+    assert fleet.is_quarantined("fatal", "headers-9")
 
 
 def test_headers_that_change_do_not_make_a_popular_request_suspect(
     fleet: Fleet,
 ) -> None:
     for number in range(3 * QUARANTINE_THRESHOLD):
-        fleet.sound("popular", f"headers-{number}")
-        fleet.end(LostRun("popular", f"lost-{number}", 0.4, 18))
+        fleet.record_good_run("popular", f"headers-{number}")
+        fleet.crash(LostRun("popular", f"lost-{number}", 0.4, 18))
         fleet.now += 1.0
-        fleet.sound("popular", f"later-{number}")
-        assert not fleet.is_held("popular", "headers-9")
+        fleet.record_good_run("popular", f"later-{number}")
+        assert not fleet.is_quarantined("popular", "headers-9")
 
 
 def test_a_caller_for_whom_it_runs_well_is_served_beside_others(fleet: Fleet) -> None:
-    """The same content ends targets for one caller and is served for another."""
+    """The same content crashes targets for one caller and is served for another."""
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL)
-        fleet.sound("fatal", "another")
+        fleet.crash(FATAL)
+        fleet.record_good_run("fatal", "another")
         fleet.now += 0.3
-    assert fleet.is_held("fatal", "caller")
-    assert not fleet.is_held("fatal", "another")
+    assert fleet.is_quarantined("fatal", "caller")
+    assert not fleet.is_quarantined("fatal", "another")
 
 
 def test_several_such_requests_at_once_are_found_each(fleet: Fleet) -> None:
     others = [LostRun(f"fatal-{number}", "caller", 0.12, 0) for number in range(3)]
-    for turn in range(2 * QUARANTINE_THRESHOLD):
-        running = [one for one in others if not fleet.is_held(one.content)]
+    for round_number in range(2 * QUARANTINE_THRESHOLD):
+        running = [one for one in others if not fleet.is_quarantined(one.content)]
         if not running:
             break
-        fleet.end(running[turn % len(running)], bystander(f"sound-{turn}"))
+        fleet.crash(
+            running[round_number % len(running)], bystander(f"sound-{round_number}")
+        )
         fleet.now += 0.2
     for _ in range(QUARANTINE_THRESHOLD):
         for one in others:
-            if not fleet.is_held(one.content):
-                fleet.end(one)
+            if not fleet.is_quarantined(one.content):
+                fleet.crash(one)
                 fleet.now += 0.2
-    held = {one.content for one in fleet.quarantine.quarantined()}
-    assert held == {one.content for one in others}
+    quarantined = {one.content for one in fleet.quarantine.quarantined()}
+    assert quarantined == {one.content for one in others}
 
 
 def test_two_that_end_the_same_targets_are_both_found(fleet: Fleet) -> None:
     second = LostRun("fatal-2", "caller", 0.15, 0)
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL, second)
-    assert fleet.is_held("fatal")
+        fleet.crash(FATAL, second)
+    assert fleet.is_quarantined("fatal")
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(second)
-    assert fleet.is_held("fatal-2")
+        fleet.crash(second)
+    assert fleet.is_quarantined("fatal-2")
 
 
 def test_a_good_run_clears_a_request(fleet: Fleet) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL)
+        fleet.crash(FATAL)
     fleet.now += TRIAL_DELAYS_S[0]
-    fleet.sound("fatal")
-    assert not fleet.is_held("fatal")
-    fleet.end(FATAL)
-    assert not fleet.is_held("fatal")
+    fleet.record_good_run("fatal")
+    assert not fleet.is_quarantined("fatal")
+    fleet.crash(FATAL)
+    assert not fleet.is_quarantined("fatal")
 
 
 def test_a_held_request_is_tried_three_times_in_two_minutes_at_most(
     fleet: Fleet,
 ) -> None:
-    """One that comes all the time, and ends its target each time."""
+    """The request is repeated continuously and crashes its target each time."""
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL)
-    began = fleet.now
-    tried: list[float] = []
-    while fleet.now < began + 120.0:
+        fleet.crash(FATAL)
+    started_at = fleet.now
+    trials: list[float] = []
+    while fleet.now < started_at + 120.0:
         hold = fleet.quarantine.hold_for("fatal", "caller")
         assert hold is not None
         if hold.is_due(fleet.now):
-            tried.append(fleet.now - began)
+            trials.append(fleet.now - started_at)
             suspect = fleet.quarantine.by_content["fatal"]
             suspect.hold = hold.after_trial(fleet.now)
-            fleet.end(FATAL)
+            fleet.crash(FATAL)
         fleet.now += 0.1
-    assert [round(at) for at in tried] == [1, 11, 71]
+    assert [round(at) for at in trials] == [1, 11, 71]
 
 
 def test_one_that_comes_late_is_not_tried_before_its_time(fleet: Fleet) -> None:
-    """Who is not in demand has time: the first try is over when nobody made it."""
+    """The early first trial expires if no caller repeats the request in time."""
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL)
+        fleet.crash(FATAL)
     hold = fleet.quarantine.hold_for("fatal", "caller")
     assert hold is not None
     due = [s / 2 for s in range(30) if hold.is_due(hold.since + s / 2)]
@@ -270,55 +275,55 @@
 
 def test_what_a_peer_kept_of_an_older_hold_does_not_come_back(fleet: Fleet) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL)
+        fleet.crash(FATAL)
     suspect = fleet.quarantine.by_content["fatal"]
-    ends, hold = list(suspect.crashes), suspect.hold
+    crashes, hold = list(suspect.crashes), suspect.hold
     fleet.now += 1.0
-    fleet.sound("fatal")
-    fleet.quarantine.merge("fatal", ends, hold)
-    fleet.judge()
-    assert not fleet.is_held("fatal")
+    fleet.record_good_run("fatal")
+    fleet.quarantine.merge("fatal", crashes, hold)
+    fleet.evaluate()
+    assert not fleet.is_quarantined("fatal")
 
 
 def test_who_knows_nothing_takes_a_hold_from_elsewhere(fleet: Fleet) -> None:
-    ends = [Crash(f"t-{n}", "caller", 0.1, 0, 90.0 + n, "e-1") for n in range(3)]
+    crashes = [Crash(f"t-{n}", "caller", 0.1, 0, 90.0 + n, "e-1") for n in range(3)]
     hold = Hold(frozenset({"caller"}), 93.0, 1, 160.0)
-    assert fleet.quarantine.merge("fatal", ends, hold)
-    assert fleet.is_held("fatal")
+    assert fleet.quarantine.merge("fatal", crashes, hold)
+    assert fleet.is_quarantined("fatal")
     later = Hold(frozenset({"caller"}), 93.0, 2, 1060.0)
-    assert fleet.quarantine.merge("fatal", ends, later)
-    assert not fleet.quarantine.merge("fatal", ends, hold)
+    assert fleet.quarantine.merge("fatal", crashes, later)
+    assert not fleet.quarantine.merge("fatal", crashes, hold)
     assert fleet.quarantine.hold_for("fatal", "caller").trial_at == 1060.0
 
 
 def test_ends_that_two_saw_apart_add_up(fleet: Fleet) -> None:
-    """An instance that was cut off knows of one end, its peers of two others."""
-    fleet.end(FATAL)
-    ends = [Crash(f"u-{n}", "caller", 0.1, 0, 99.0 + n / 2, "e-1") for n in range(2)]
-    fleet.quarantine.merge("fatal", ends, None)
-    assert fleet.judge() == ["fatal"]
+    """A partitioned instance knows of one crash, its peers of two others."""
+    fleet.crash(FATAL)
+    crashes = [Crash(f"u-{n}", "caller", 0.1, 0, 99.0 + n / 2, "e-1") for n in range(2)]
+    fleet.quarantine.merge("fatal", crashes, None)
+    assert fleet.evaluate() == ["fatal"]
 
 
 def test_what_is_remembered_is_bounded_and_what_is_held_goes_last(
     fleet: Fleet,
 ) -> None:
     for _ in range(QUARANTINE_THRESHOLD):
-        fleet.end(FATAL)
+        fleet.crash(FATAL)
     for number in range(2 * MAX_SUSPECTS):
         fleet.quarantine.record_crash(
             f"x-{number}", [bystander(f"b-{number}")], 200.0, "e"
         )
     assert len(fleet.quarantine.by_content) == MAX_SUSPECTS
-    assert fleet.is_held("fatal")
+    assert fleet.is_quarantined("fatal")
     for _ in range(100):
-        fleet.end(FATAL)
+        fleet.crash(FATAL)
         fleet.now += 2.0
     assert len(fleet.quarantine.by_content["fatal"].crashes) < 20
 
 
 def test_old_ends_are_forgotten(fleet: Fleet) -> None:
-    fleet.end(FATAL)
-    fleet.end(FATAL)
+    fleet.crash(FATAL)
+    fleet.crash(FATAL)
     fleet.now += RETENTION_S
     fleet.quarantine.expire(fleet.now)
     assert not fleet.quarantine.by_content
--- a/tests/policy/test_run_lengths.py
+++ b/tests/policy/test_run_lengths.py
@@ -1,12 +1,12 @@
-"""What is learnt of how long items run, and which go first where slots are too few.
+"""Run statistics of items, and the order of items when slots are scarce.
 
-Seen on a day with three of five targets left for jobs that ask for half of all slots:
-in order of due time alone, each item got its first slot when it could just be done, a
-burst came, and nearly all were late: of 147 items 56 were in time, 64 late. Work on one
-that cannot be in time any more takes the slots of those that can.
+Guards against a failure with three of five targets left for jobs that need half of all
+slots: ordered by due time only, each item got its first slot when it could just finish
+in time, a burst came, and nearly all were late: of 147 items 56 were in time, 64 late.
+Work on an item that cannot be in time any more takes the slots of those that can.
 
-The model in ``caperridge.measure.scarcity_model`` plays that pattern; an item has 193
-events of 25 ms as on that day.
+``caperridge.measure.scarcity_model`` replays that pattern with items of 193 events of
+25 ms.
 """
 
 import pytest
@@ -26,7 +26,7 @@
 from caperridge.measure.scarcity_model import Outcome, Play, Policy
 
 SEEDS = range(6)
-# Two targets of eight slots, and bursts that leave items none of them.
+# Two targets of eight slots, and bursts that leave no slot for items.
 SLOTS = 16
 BURST_RATE = 1.6
 TOKENS = 2000
@@ -36,12 +36,12 @@
 
 @pytest.fixture
 def lengths() -> RunStatistics:
-    """What ten items of the same length leave behind."""
-    made = RunStatistics()
+    """Statistics after ten items of the same length."""
+    statistics = RunStatistics()
     for _ in range(10):
-        made.record_run(EVENTS, EVENTS * EVENT_S)
-        made.record_item(TOKENS, EVENTS, EVENTS * EVENT_S * 1.2)
-    return made
+        statistics.record_run(EVENTS, EVENTS * EVENT_S)
+        statistics.record_item(TOKENS, EVENTS, EVENTS * EVENT_S * 1.2)
+    return statistics
 
 
 def test_nothing_is_late_before_anything_is_known() -> None:
@@ -50,8 +50,8 @@
 
 
 def test_what_is_left_shrinks_with_each_event(lengths: RunStatistics) -> None:
-    left = [lengths.remaining_s(TOKENS, events) for events in (0, 100, 200, 300)]
-    assert left == pytest.approx([6.0, 3.0, 0.0, 0.0])
+    remaining = [lengths.remaining_s(TOKENS, events) for events in (0, 100, 200, 300)]
+    assert remaining == pytest.approx([6.0, 3.0, 0.0, 0.0])
 
 
 def test_short_runs_tell_nothing_of_the_pace(lengths: RunStatistics) -> None:
@@ -92,12 +92,12 @@
 )
 @settings(max_examples=200, derandomize=True, deadline=None)
 def test_what_is_left_is_never_negative(
-    ended: list[tuple[int, int]], events: int
+    completed: list[tuple[int, int]], events: int
 ) -> None:
     lengths = RunStatistics()
-    for tokens, made in ended:
-        lengths.record_run(made, made * EVENT_S)
-        lengths.record_item(tokens, made, 0.0)
+    for tokens, events_made in completed:
+        lengths.record_run(events_made, events_made * EVENT_S)
+        lengths.record_item(tokens, events_made, 0.0)
     assert (
         lengths.remaining_s(TOKENS, events)
         >= lengths.remaining_s(TOKENS, events + 1)
