--- a/tests/headroom/test_batch_streams.py
+++ b/tests/headroom/test_batch_streams.py
@@ -1,4 +1,4 @@
-"""Batch streams before a real engine stand-in: they yield, and lose nothing."""
+"""Batch streams against an engine stand-in: they are preempted without lost tokens."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -16,13 +16,13 @@
 from caperridge.store.interface import ListedMember
 from conftest import until
 
-MOST_RUNNING = 6
-COSTS = EngineCosts(step_s=0.008, sequence_s=0.0001, most_running=MOST_RUNNING)
+MAX_RUNNING = 6
+COSTS = EngineCosts(step_s=0.008, sequence_s=0.0001, most_running=MAX_RUNNING)
 TOKENS = 40
 
 
-class Saturated:
-    """A fleet with one instance and one engine that batch fills."""
+class SaturatedFleet:
+    """A fleet with one instance and one engine that is filled by batch."""
 
     def __init__(self, fleet: StandinFleet) -> None:
         self.fleet = fleet
@@ -52,15 +52,15 @@
     def batch_running(self) -> int:
         return len(self.streams.state()["running"])
 
-    def preempted(self) -> int:
+    def preemption_count(self) -> int:
         return sum(work.preemptions for work in self.works)
 
-    def check_whole(self) -> None:
+    def check_complete(self) -> None:
         assert set(self.errors_by_request.values()) == {None}
         for number, work in enumerate(self.works):
             assert "".join(work.texts) == answer_text(f"log {number}", TOKENS)
 
-    async def online(self, count: int, tokens: int = 10) -> LoadFigures:
+    async def send_online(self, count: int, tokens: int = 10) -> LoadFigures:
         figures = LoadFigures()
         url = self.fleet.callers_urls()[0]
         requests = []
@@ -72,80 +72,82 @@
 
 
 @asynccontextmanager
-async def saturated(items: int = 20) -> AsyncIterator[Saturated]:
+async def saturated(items: int = 20) -> AsyncIterator[SaturatedFleet]:
     async with running_fleet(FleetShape(engines=1, costs=COSTS)) as fleet:
-        found = Saturated(fleet)
-        found.submit(items)
-        await until(lambda: found.batch_running() >= MOST_RUNNING - 1)
-        yield found
+        bed = SaturatedFleet(fleet)
+        bed.submit(items)
+        await until(lambda: bed.batch_running() >= MAX_RUNNING - 1)
+        yield bed
 
 
 async def test_online_preempts_batch_and_batch_completes_whole() -> None:
-    async with saturated() as found:
-        figures = await found.online(5)
+    async with saturated() as bed:
+        figures = await bed.send_online(5)
         assert (figures.answered, figures.failed) == (5, 0)
-        assert found.preempted() >= 4
-        await until(lambda: len(found.errors_by_request) == len(found.works))
-        found.check_whole()
+        assert bed.preemption_count() >= 4
+        await until(lambda: len(bed.errors_by_request) == len(bed.works))
+        bed.check_complete()
 
 
 async def test_an_online_request_has_its_place_at_the_engine_within_a_few_steps() -> (
     None
 ):
-    async with saturated() as found:
+    async with saturated() as bed:
         waits: list[int] = []
-        submit = found.engine.submit
+        submit = bed.engine.submit
 
         def watch(sequence: Any) -> Any:
             queue = submit(sequence)
             if sequence.request.startswith("req-"):
-                asyncio.get_running_loop().call_later(0.03, look, sequence.attempt)
+                asyncio.get_running_loop().call_later(
+                    0.03, check_waiting, sequence.attempt
+                )
             return queue
 
-        def look(attempt: str) -> None:
-            waits.append(sum(s.attempt == attempt for s in found.engine.model.waiting))
+        def check_waiting(attempt: str) -> None:
+            waits.append(sum(s.attempt == attempt for s in bed.engine.model.waiting))
 
-        found.engine.submit = watch
-        await found.online(4, tokens=20)
+        bed.engine.submit = watch
+        await bed.send_online(4, tokens=20)
         assert waits == [0, 0, 0, 0]
 
 
-async def news_of_a_peer(found: Saturated) -> None:
-    for sequence, in_flight in enumerate([1, 3, MOST_RUNNING], 1):
+async def news_of_a_peer(bed: SaturatedFleet) -> None:
+    for sequence, in_flight in enumerate([1, 3, MAX_RUNNING], 1):
         news = OnlineNews("entry-9", "runner-1", in_flight, sequence)
-        found.streams.online_changed(
+        bed.streams.online_changed(
             news.target, news.instance, news.in_flight, news.sequence
         )
-    assert found.batch_running() == 0
+    assert bed.batch_running() == 0
 
 
-async def news_of_the_lease(found: Saturated) -> None:
-    items = list(found.works)
-    found.streams.drop_all()
-    assert found.batch_running() == 0
+async def news_of_the_lease(bed: SaturatedFleet) -> None:
+    items = list(bed.works)
+    bed.streams.drop_all()
+    assert bed.batch_running() == 0
     for work in items:
-        if work.request not in found.errors_by_request:
-            found.streams.submit(work)
+        if work.request not in bed.errors_by_request:
+            bed.streams.submit(work)
 
 
-async def a_cut_stream(found: Saturated) -> None:
-    found.engine.faults.cut_after = 3
+async def a_cut_stream(bed: SaturatedFleet) -> None:
+    bed.engine.faults.cut_after = 3
     await asyncio.sleep(0.1)
-    found.engine.faults.cut_after = 0
+    bed.engine.faults.cut_after = 0
 
 
-async def the_runner_goes_to_a_peer(found: Saturated) -> None:
-    members = list(found.fleet.members_by_id.values())
+async def the_runner_goes_to_a_peer(bed: SaturatedFleet) -> None:
+    members = list(bed.fleet.members_by_id.values())
     names = iter(f"entry-{n}" for n in range(2, 99))
-    membership = found.instance.membership
+    membership = bed.instance.membership
     while membership.owner("runner-1", "oviedo") == "entry-1":
         peer = ListedMember(next(names), "instance", "127.0.0.1:1", "oviedo")
         members.append(peer)
         membership.apply_list(members)
-    found.fleet.platform.set_members(members)
-    await until(lambda: found.batch_running() == 0)
-    assert any(0 < len(work.texts) < TOKENS for work in found.works)
-    found.fleet.platform.set_members(list(found.fleet.members_by_id.values()))
+    bed.fleet.platform.set_members(members)
+    await until(lambda: bed.batch_running() == 0)
+    assert any(0 < len(work.texts) < TOKENS for work in bed.works)
+    bed.fleet.platform.set_members(list(bed.fleet.members_by_id.values()))
 
 
 @pytest.mark.parametrize(
@@ -153,31 +155,31 @@
     [news_of_a_peer, news_of_the_lease, a_cut_stream, the_runner_goes_to_a_peer],
 )
 async def test_a_disturbed_item_has_each_token_once(
-    disturb: Callable[[Saturated], Any],
+    disturb: Callable[[SaturatedFleet], Any],
 ) -> None:
-    async with saturated() as found:
-        # An item that ends with an error goes back in, as the dispatcher does it.
-        finished = found.streams.finished
-
-        def again(work: ItemWork, error: Any) -> None:
-            finished(work, None) if error is None else found.streams.submit(work)
-
-        found.streams.finished = again
-        await until(lambda: sum(len(work.texts) > 4 for work in found.works) >= 4)
-        had = [len(work.texts) for work in found.works]
-        await disturb(found)
-        for work, tokens in zip(found.works, had, strict=True):
+    async with saturated() as bed:
+        # An item that fails is submitted again, as the dispatcher does.
+        finished = bed.streams.finished
+
+        def resubmit(work: ItemWork, error: Any) -> None:
+            finished(work, None) if error is None else bed.streams.submit(work)
+
+        bed.streams.finished = resubmit
+        await until(lambda: sum(len(work.texts) > 4 for work in bed.works) >= 4)
+        tokens_before = [len(work.texts) for work in bed.works]
+        await disturb(bed)
+        for work, tokens in zip(bed.works, tokens_before, strict=True):
             assert len(work.texts) >= tokens
-        await until(lambda: len(found.errors_by_request) == len(found.works), 15.0)
-        found.check_whole()
+        await until(lambda: len(bed.errors_by_request) == len(bed.works), 15.0)
+        bed.check_complete()
 
 
 async def test_a_cancelled_job_leaves_nothing_at_the_engine() -> None:
-    async with saturated() as found:
-        found.streams.cancel_job("j")
-        await until(lambda: found.at_engine == 0)
+    async with saturated() as bed:
+        bed.streams.cancel_job("j")
+        await until(lambda: bed.at_engine == 0)
         await asyncio.sleep(0.05)
-        assert found.at_engine == 0
+        assert bed.at_engine == 0
         readers = [str(task.get_coro()) for task in asyncio.all_tasks()]
         assert not [reader for reader in readers if "BatchStreams._run" in reader]
-        assert found.streams.state()["waiting_by_service"] == {SERVICE: 0}
+        assert bed.streams.state()["waiting_by_service"] == {SERVICE: 0}
--- a/tests/headroom/test_headroom_machine.py
+++ b/tests/headroom/test_headroom_machine.py
@@ -1,4 +1,4 @@
-"""Headroom and preemption fuzzed against a simple oracle."""
+"""Property-based test of headroom and preemption against a simple oracle."""
 
 from typing import Any
 
@@ -22,8 +22,8 @@
 LONG_AGO = -1000.0
 
 
-class News:
-    """One message of a peer on its way; it may be lost, late or doubled."""
+class OnlineUpdate:
+    """One message of a peer in transit; it may be lost, late or duplicated."""
 
     def __init__(self, sender: str, in_flight: int, sequence: int) -> None:
         self.sender = sender
@@ -32,7 +32,7 @@
 
 
 class HeadroomMachine(RuleBasedStateMachine):
-    """One runner, its dispatcher, and online senders whose news goes astray."""
+    """One target, its dispatcher, and online senders with an unreliable network."""
 
     @initialize(
         most_running=st.integers(2, 12),
@@ -48,42 +48,42 @@
         self.settled_at = self.now if alone else self.now + SETTLE_S
         self.in_flight_by_sender = dict.fromkeys((OWN, *PEERS), 0)
         self.sequence_by_sender = dict.fromkeys(PEERS, 0)
-        self.on_the_way: list[News] = []
-        # What an all-knowing dispatcher would have: count, sequence, time heard.
-        self.heard_by_sender: dict[str, tuple[int, int, float]] = {}
+        self.in_transit: list[OnlineUpdate] = []
+        # State of an ideal dispatcher: count, sequence, time of receipt.
+        self.received_by_sender: dict[str, tuple[int, int, float]] = {}
         self.batch: list[BatchStream] = []
         self.started = 0
 
     def _change(self, sender: str, by: int) -> None:
         self.in_flight_by_sender[sender] += by
-        self._tell(sender)
+        self._send_update(sender)
 
-    def _tell(self, sender: str) -> None:
+    def _send_update(self, sender: str) -> None:
         in_flight = self.in_flight_by_sender[sender]
         if sender == OWN:
             self.headroom.update_online(TARGET, OWN, in_flight, self.now)
             self._preempt()
             return
         self.sequence_by_sender[sender] += 1
-        news = News(sender, in_flight, self.sequence_by_sender[sender])
-        self.on_the_way.append(news)
-
-    def _hear(self, news: News) -> None:
-        known = self.heard_by_sender.get(news.sender, (0, 0, LONG_AGO))
-        fresh = news.sequence > known[1] or self.now - known[2] >= COUNT_TTL_S
-        taken = self.headroom.update_online(
-            TARGET, news.sender, news.in_flight, self.now, news.sequence
+        update = OnlineUpdate(sender, in_flight, self.sequence_by_sender[sender])
+        self.in_transit.append(update)
+
+    def _receive(self, update: OnlineUpdate) -> None:
+        last = self.received_by_sender.get(update.sender, (0, 0, LONG_AGO))
+        fresh = update.sequence > last[1] or self.now - last[2] >= COUNT_TTL_S
+        applied = self.headroom.update_online(
+            TARGET, update.sender, update.in_flight, self.now, update.sequence
         )
-        assert taken == fresh
+        assert applied == fresh
         if fresh:
-            heard = (news.in_flight, news.sequence, self.now)
-            self.heard_by_sender[news.sender] = heard
+            received = (update.in_flight, update.sequence, self.now)
+            self.received_by_sender[update.sender] = received
         self._preempt()
 
     def _oracle_online(self) -> int:
         total = self.in_flight_by_sender[OWN]
-        for in_flight, _, heard_at in self.heard_by_sender.values():
-            if self.now - heard_at < COUNT_TTL_S:
+        for in_flight, _, received_at in self.received_by_sender.values():
+            if self.now - received_at < COUNT_TTL_S:
                 total += in_flight
         return total
 
@@ -101,18 +101,18 @@
         assert self._staying() <= self._allowed()
 
     def _staying(self) -> int:
-        """Count the streams that need their place beyond the step that runs."""
+        """Count the streams that need their slot beyond the current step."""
         return sum(not stream.ending for stream in self.batch)
 
     def _check_order(self, victims: list[BatchStream]) -> None:
         for victim in victims:
-            for kept in self.batch:
-                if kept.ending:
+            for remaining in self.batch:
+                if remaining.ending:
                     continue
                 if victim.preemptions >= PROTECTION_THRESHOLD:
-                    assert kept.preemptions >= victim.preemptions
-                elif kept.preemptions < PROTECTION_THRESHOLD:
-                    assert kept.tokens >= victim.tokens
+                    assert remaining.preemptions >= victim.preemptions
+                elif remaining.preemptions < PROTECTION_THRESHOLD:
+                    assert remaining.tokens >= victim.tokens
 
     @rule(sender=st.sampled_from([OWN, *PEERS]))
     def online_starts(self, sender: str) -> None:
@@ -124,30 +124,30 @@
             self._change(sender, -1)
 
     @rule(data=st.data(), again=st.booleans())
-    @precondition(lambda self: self.on_the_way)
+    @precondition(lambda self: self.in_transit)
     def news_arrives_in_any_order(self, data: Any, again: bool) -> None:
-        news = data.draw(st.sampled_from(self.on_the_way))
+        update = data.draw(st.sampled_from(self.in_transit))
         if not again:
-            self.on_the_way.remove(news)
-        self._hear(news)
+            self.in_transit.remove(update)
+        self._receive(update)
 
     @rule()
-    @precondition(lambda self: self.on_the_way)
+    @precondition(lambda self: self.in_transit)
     def news_is_lost(self) -> None:
-        self.on_the_way.pop(0)
+        self.in_transit.pop(0)
 
     @rule()
     def peers_repeat_what_is_in_flight(self) -> None:
         for sender in PEERS:
             if self.in_flight_by_sender[sender]:
-                self._tell(sender)
+                self._send_update(sender)
 
     @rule(sender=st.sampled_from(PEERS))
     def a_peer_is_gone(self, sender: str) -> None:
         self.in_flight_by_sender[sender] = 0
         self.headroom.remove_sender(sender)
-        self.heard_by_sender.pop(sender, None)
-        self.on_the_way = [n for n in self.on_the_way if n.sender != sender]
+        self.received_by_sender.pop(sender, None)
+        self.in_transit = [n for n in self.in_transit if n.sender != sender]
 
     @rule(seconds=st.sampled_from([0.001, 0.05, 0.5, 4.0]))
     def time_passes(self, seconds: float) -> None:
@@ -195,13 +195,13 @@
 
     @rule()
     def all_news_arrives(self) -> None:
-        for news in sorted(self.on_the_way, key=lambda n: n.sequence):
-            self._hear(news)
-        self.on_the_way.clear()
+        for update in sorted(self.in_transit, key=lambda n: n.sequence):
+            self._receive(update)
+        self.in_transit.clear()
         for sender in PEERS:
-            # The newest word may have been lost; the repeat makes that good.
-            self._tell(sender)
-            self._hear(self.on_the_way.pop())
+            # The last update may have been lost; a repeated one corrects that.
+            self._send_update(sender)
+            self._receive(self.in_transit.pop())
         online = sum(self.in_flight_by_sender.values())
         assert self.headroom.online(TARGET, self.now) == online
         assert not self._staying() or self._staying() + online <= self.most_running
--- a/tests/headroom/test_step_time.py
+++ b/tests/headroom/test_step_time.py
@@ -1,4 +1,4 @@
-"""Learning how long a step takes."""
+"""Estimation of the step time."""
 
 import random
 
--- a/tests/headroom/test_two_instances.py
+++ b/tests/headroom/test_two_instances.py
@@ -1,4 +1,4 @@
-"""The dispatcher of a runner yields to online requests that a peer sends there."""
+"""The dispatcher of a target preempts batch for online requests sent by a peer."""
 
 from caperridge.measure.batch_feed import BatchFeed
 from caperridge.measure.fleet import SERVICE, FleetShape, running_fleet
@@ -19,7 +19,7 @@
         await until(lambda: sum(i.streams.own.owns(TARGET) for i in owners) == 1)
         owner = next(i for i in owners if i.streams.own.owns(TARGET))
         other = next(i for i in owners if i is not owner)
-        # One place is kept for the requests of peers.
+        # One slot is reserved for requests of peers.
         await until(lambda: len(owner.streams.state()["running"]) == 5)
         assert not other.streams.state()["running"]
         preempted = owner.metrics.preempted.labels(SERVICE)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -1,7 +1,7 @@
-"""Membership: rules in tables, and a state machine against an oracle.
+"""Membership: table tests of its rules, and a state machine against an oracle.
 
-In the machine each instance runs the real decisions; the network, the pauses and the
-clock are the test's. Its oracle knows who runs and who can talk to whom.
+In the state machine each instance runs the real decision code; the network, the pauses
+and the clock are simulated. The oracle knows the running instances and the links.
 """
 
 import hypothesis.strategies as st
@@ -189,7 +189,7 @@
 def test_links_are_wanted_from_both_ends_and_few() -> None:
     known = {z: [f"{z}-{n:02}" for n in range(23)] for z in "abcdefghijklmnopq"}
     everyone = {i for members in known.values() for i in members}
-    wanted = {
+    links_by_instance = {
         instance: desired_links(
             instance,
             instance[0],
@@ -198,17 +198,19 @@
         )
         for instance in everyone
     }
-    for instance, peers in wanted.items():
-        assert all(instance in wanted[peer] for peer in peers)
+    for instance, peers in links_by_instance.items():
+        assert all(instance in links_by_instance[peer] for peer in peers)
         assert {p for p in peers if p[0] == instance[0]} == set(known[instance[0]]) - {
             instance
         }
-    elsewhere = sum(sum(p[0] != i[0] for p in peers) for i, peers in wanted.items())
-    assert elsewhere == 17 * 16 * LINKS_PER_ZONE**2
+    cross_zone = sum(
+        sum(p[0] != i[0] for p in peers) for i, peers in links_by_instance.items()
+    )
+    assert cross_zone == 17 * 16 * LINKS_PER_ZONE**2
 
 
 class Node:
-    """One process with the real decisions."""
+    """One process with the real decision code."""
 
     def __init__(self, name: str, incarnation: int, now: float) -> None:
         self.name = name
@@ -220,7 +222,7 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Cuts, pauses, restarts, replacements and a clock moved by hand."""
+    """Network cuts, pauses, restarts, replacements and a simulated clock."""
 
     names = st.sampled_from(["a", "b", "c", "d"])
 
@@ -228,7 +230,7 @@
     def begin(self) -> None:
         self.now = 0.0
         self.nodes: dict[str, Node] = {}
-        self.gone: list[Node] = []
+        self.replaced: list[Node] = []
         self.cut: set[frozenset[str]] = set()
         self.next_incarnation = 1
         for name in "abcd":
@@ -245,9 +247,9 @@
 
     @rule(name=names)
     def replace_while_the_former_is_paused(self, name: str) -> None:
-        former = self.nodes.get(name)
-        if former is not None:
-            self.gone = [former]
+        replaced = self.nodes.get(name)
+        if replaced is not None:
+            self.replaced = [replaced]
         self.restart(name)
 
     @rule(one=names, other=names)
@@ -271,26 +273,26 @@
 
     def step(self) -> None:
         self.now += TICK
-        awake = [n for n in self.nodes.values() if not n.paused]
-        for node in awake:
+        active = [n for n in self.nodes.values() if not n.paused]
+        for node in active:
             removed = node.view.tick(self.now)
             assert set(removed) <= node.suspected, "removed without suspicion"
             node.suspected = set(node.view.detector.suspects())
-        for node in awake:
+        for node in active:
             heartbeat = node.heartbeats.next()
-            for other in awake:
+            for other in active:
                 link = frozenset((node.name, other.name))
                 if other is not node and link not in self.cut:
                     other.heartbeats.receive(heartbeat, ZONE, self.now)
 
     @rule()
     def a_former_process_wakes_and_speaks(self) -> None:
-        for node in self.gone:
-            late = node.heartbeats.next()
+        for node in self.replaced:
+            stale = node.heartbeats.next()
             for other in self.nodes.values():
                 if other.name == node.name or other.paused:
                     continue
-                other.heartbeats.receive(late, ZONE, self.now)
+                other.heartbeats.receive(stale, ZONE, self.now)
                 answer = other.heartbeats.latest()
                 answer.rumours.append(
                     [
@@ -301,11 +303,11 @@
                     ]
                 )
                 node.heartbeats.receive(answer, ZONE, self.now + STARTUP_S)
-        self.gone = []
+        self.replaced = []
 
     @rule()
     def all_is_well_for_a_while(self) -> None:
-        """Everybody who runs is seen by all, the dead by nobody; owners agree."""
+        """All instances see exactly the running ones and agree on owners."""
         self.cut.clear()
         for node in self.nodes.values():
             node.paused = False
@@ -319,7 +321,7 @@
 
     @rule(name=names)
     def one_link_of_a_healthy_zone_breaks(self, name: str) -> None:
-        """With three others that see both ends, nobody is removed."""
+        """With three peers that see both ends, no instance is removed."""
         self.all_is_well_for_a_while()
         if len(self.nodes) < 4:
             return
