--- a/src/caperridge/decisions/affinity.py
+++ b/src/caperridge/decisions/affinity.py
@@ -23,7 +23,7 @@
     """Return the chained hash of each leading block of ``prompt``.
 
     The engines publish the same hashes in their cache events. Blocks beyond the
-    first :data:`MOST_BLOCKS_A_PROMPT` add little to a choice and are left out.
+    first :data:`MAX_BLOCKS_PER_PROMPT` add little to a choice and are left out.
 
     >>> one, two = prefix_blocks("a" * 128), prefix_blocks("a" * 64 + "b" * 64)
     >>> one[0] == two[0], one[1] == two[1]
--- a/src/caperridge/decisions/burst.py
+++ b/src/caperridge/decisions/burst.py
@@ -67,7 +67,7 @@
         "_arrivals",
         "_max_arrivals",
         "_max_online",
-        "_noted_at",
+        "_recorded_at",
         "_scale",
         "_weights_by_online",
         "arrived_at",
@@ -77,7 +77,7 @@
     def __init__(self, arrivals_window_s: float = ARRIVALS_WINDOW_S) -> None:
         self.online = 0
         self.arrived_at = -math.inf
-        self._noted_at = 0.0
+        self._recorded_at = 0.0
         self._max_online = SlidingMaximum(MAX_HOLD_S)
         self._max_arrivals = SlidingMaximum(arrivals_window_s)
         self._arrivals: deque[float] = deque()
@@ -129,8 +129,8 @@
         The number of tokens is proportional to concurrency and time. Instead of
         decaying all weights, later ones are scaled up.
         """
-        elapsed = max(0.0, now - self._noted_at)
-        self._noted_at = max(now, self._noted_at)
+        elapsed = max(0.0, now - self._recorded_at)
+        self._recorded_at = max(now, self._recorded_at)
         self._scale *= 2 ** (min(elapsed, 10 * HALF_LIFE_S) / HALF_LIFE_S)
         if self.online:
             weight = self.online * elapsed * self._scale
--- a/src/caperridge/decisions/failure_detector.py
+++ b/src/caperridge/decisions/failure_detector.py
@@ -5,7 +5,8 @@
 becomes suspect, and only a suspect that stays silent is removed. A peer that returns
 after a removal must be steady for a while before it counts as live, longer each time,
 so that ownership does not flap over a bad link. After a pause of its own, an instance
-suspects no peer and owns nothing until it has received evidence of a peer.
+suspects no peer, and owns nothing until it has received evidence of a peer or
+:data:`MAX_RECOVERY_S` has passed.
 """
 
 from caperridge.records import Record
--- a/src/caperridge/decisions/headroom.py
+++ b/src/caperridge/decisions/headroom.py
@@ -257,11 +257,11 @@
         if runner.expects_peer_requests(now):
             arrivals = runner.burst.max_arrivals(now)
             reserve = _reserved_slots(arrivals, most_running, batch_weight)
-        full = most_running - reserve - runner.guard.withheld_streams(now)
+        capacity = most_running - reserve - runner.guard.withheld_streams(now)
         tail = runner.burst.tail_online(now)
         line = runner.steps.line(now)
         tolerated = max_streams(line, tail, most_running, batch_weight)
-        return max(0, int(min(full, tolerated)) - online)
+        return max(0, int(min(capacity, tolerated)) - online)
 
 
 def _reserved_slots(max_arrivals: int, most_running: int, batch_weight: float) -> int:
