--- a/tests/gateway/test_item_events.py
+++ b/tests/gateway/test_item_events.py
@@ -3,7 +3,8 @@
 Guards against one read per event, as for online streams, whose callers wait for each
 event. Of an item only the whole output and periodic progress are used. With 63
 instances and some 125 running items, each event, one every 33 ms per item, woke a task
-for a few bytes, and the instances ran out of CPU time.
+for a few bytes, as often as the events of all online streams did, and the instances ran
+out of CPU time.
 """
 
 import asyncio
