--- a/tests/gateway/test_item_leases.py
+++ b/tests/gateway/test_item_leases.py
@@ -59,7 +59,7 @@
     assert len(runner.runs) > 2
     resumed = [run.resumed_after for run in runner.runs]
     assert resumed == sorted(set(resumed))
-    assert runner.most_busy == 1
+    assert runner.max_busy == 1
 
 
 @pytest.mark.usefixtures("renewed_often")
--- a/tests/gateway/test_jobs.py
+++ b/tests/gateway/test_jobs.py
@@ -80,7 +80,7 @@
     assert sorted(one["id"] for one in results) == ITEMS
     await asyncio.sleep(delay_s * 1.5)
     assert await listed(world, instance, "j1", 3) == results
-    assert runner.most_busy <= runner.slots
+    assert runner.max_busy <= runner.slots
 
 
 async def test_what_a_killed_instance_held_goes_on_behind_its_last_event(
@@ -369,7 +369,7 @@
     second = await world.add_instance()
     world.store_of(second)._base = "http://127.0.0.1:1"
     await until(lambda: any(m.store_reached for m in second.mesh.alive()))
-    second.reach.record_failure("it is turned away")
+    second.reachability.record_failure("it is turned away")
     await until(lambda: second.configuration.table is not None)
     assert (await world.submit(second, "j1", ITEMS)).status == 202
     results = await listed(world, first, "j1", 3)
@@ -424,7 +424,7 @@
 ) -> None:
     """Runs of an instance that lost power continue at their targets."""
     runner = await world.add_runner(slots=3)
-    runner.leftover = 2
+    runner.orphaned = 2
     instance = await world.add_instance()
     await world.ready()
     await until(lambda: instance.fleet.occupancy.total_at(runner.id).total == 2)
@@ -432,8 +432,8 @@
     await world.submit(instance, "j1", ITEMS)
     await until(lambda: runner.busy)
     await asyncio.sleep(0.6)
-    assert runner.most_busy == 1
-    runner.leftover = 0
+    assert runner.max_busy == 1
+    runner.orphaned = 0
     await until(lambda: runner.busy == 3)
     assert instance.fleet.occupancy.total_at(runner.id).total == 3
 
