--- a/tests/gateway/memory_rows.py
+++ b/tests/gateway/memory_rows.py
@@ -1,4 +1,4 @@
-"""Rows in memory, with answers that are lost and writes that are done late."""
+"""In-memory rows with lost answers and delayed writes."""
 
 import asyncio
 from collections.abc import Iterable
@@ -20,16 +20,16 @@
 )
 from caperridge.store.interface import NotDone, Unknown
 
-# What may become of a write.
+# Outcomes of a write.
 DONE, NOT_DONE, LOST_DONE, LOST_LATE, LOST_NEVER = range(5)
 
 
 class MemoryRows(RowStore):
-    """Takes writes as ``fates`` says, in order; all are done when none is left.
+    """Gives writes the outcomes in ``fates``, in order; then all are done.
 
     Attributes:
-        rows_by_key: as they are.
-        history: each state of the rows, oldest first, for whoever checks them.
+        rows_by_key: current rows.
+        history: each state of the rows, oldest first, for the checks of a test.
         objects: by name.
         late: writes whose answers were lost and that may still be done.
     """
@@ -78,11 +78,11 @@
         return Err(Unknown("lost")) if fate == LOST_DONE else answer
 
     def heal(self) -> None:
-        """Do all writes from now on at once."""
+        """Do all later writes at once."""
         self._fates = iter(())
 
     def do_late(self) -> None:
-        """Do the writes that are late, as far as their conditions still hold."""
+        """Do the delayed writes whose conditions still hold."""
         late, self.late = self.late, []
         for transaction in late:
             self._apply(transaction)
@@ -106,7 +106,7 @@
         return Ok(Done(self._version, 1.0))
 
     async def _pause(self) -> None:
-        """Let others go on; a late write may be done meanwhile."""
+        """Yield to other tasks; a delayed write may be done meanwhile."""
         for _ in range(next(self._pauses, 0)):
             await asyncio.sleep(0)
             if self.late:
--- a/tests/gateway/silent_relay.py
+++ b/tests/gateway/silent_relay.py
@@ -1,17 +1,17 @@
-"""A way to an address on which open connections can go silent without a reset."""
+"""A TCP relay whose open connections can go silent without a reset."""
 
 import asyncio
 import contextlib
 
 
 class SilentRelay:
-    """Passes bytes on, until :meth:`silence`; connections opened later work.
+    """Relays bytes until :meth:`silence`; connections opened later work.
 
-    What is sent into a silent connection is taken and lost, as is its end.
+    What is sent into a silent connection is accepted and dropped, as is its end.
 
     Attributes:
         address: that callers connect to.
-        opened: how many connections it has taken.
+        opened: number of connections accepted so far.
     """
 
     def __init__(self, target: str) -> None:
@@ -38,7 +38,7 @@
             writer.transport.abort()
 
     def silence(self) -> None:
-        """Let nothing more through on the connections that are open now."""
+        """Drop everything on the connections that are open now."""
         for silent in self._silent:
             silent.set()
         self._silent = set()
@@ -59,12 +59,12 @@
         silent = asyncio.Event()
         self._silent.add(silent)
         for source, sink in ((reader, back), (there, writer)):
-            task = asyncio.ensure_future(_pass_on(source, sink, silent))
+            task = asyncio.ensure_future(_relay(source, sink, silent))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
 
-async def _pass_on(
+async def _relay(
     source: asyncio.StreamReader, sink: asyncio.StreamWriter, silent: asyncio.Event
 ) -> None:
     with contextlib.suppress(OSError):
--- a/tests/gateway/store_standin.py
+++ b/tests/gateway/store_standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the users' store, written from its published pages."""
+"""A small stand-in of the users' store, written from its published interface."""
 
 import asyncio
 import base64
@@ -18,13 +18,13 @@
     Attributes:
         refuse: status that all calls get; None to serve them.
         lose_answers: how many of the next writes are done and not answered.
-        lose_silently: such a write's connection says nothing more; else it is reset.
-        lose_table: only writes into this table lose theirs; empty for all.
-        delay_writes_s: how much later such a write is done.
-        delay_s: how long it takes to begin with any call.
+        lose_silently: a lost answer leaves its connection silent; else it is reset.
+        lose_table: only writes into this table lose their answers; empty for all.
+        delay_writes_s: delay of such a write.
+        delay_s: delay before any call is handled.
         writes: transactions that took effect.
-        waits_ms: how long each watch would wait for news.
-        ahead_s: by which its clock is ahead of the steady one.
+        waits_ms: longest wait of each long poll.
+        ahead_s: by how much its clock is ahead of the steady one.
     """
 
     def __init__(self) -> None:
@@ -46,11 +46,11 @@
         self._changed = asyncio.Event()
 
     def put(self, table: str, key: str, value: Any, part: str = "") -> None:
-        """Write a row as the operator or a target does."""
+        """Write a row as an operator or a target does."""
         self.put_bytes(table, key, orjson.dumps(value), part)
 
     def put_bytes(self, table: str, key: str, value: bytes, part: str = "") -> None:
-        """Write a row as anybody may."""
+        """Write a row with any bytes."""
         self.version += 1
         self._write((table, part, key), value)
         self._wake()
@@ -62,11 +62,11 @@
         self._wake()
 
     def forget_history(self) -> None:
-        """Answer 410 to whoever asks for changes before now."""
+        """Answer 410 to requests for changes before now."""
         self.forgotten_before = self.version
 
     def application(self) -> web.Application:
-        """Return what serves the store."""
+        """Return the web application of the store."""
         application = web.Application(
             client_max_size=16 * 2**20, middlewares=[self._faults]
         )
--- a/tests/gateway/test_contacts.py
+++ b/tests/gateway/test_contacts.py
@@ -1,4 +1,4 @@
-"""Streams at size: a full mesh in a zone, and two contacts in each other one."""
+"""Streams of a large mesh: all in the own zone, two contacts in each other zone."""
 
 import asyncio
 
@@ -67,7 +67,7 @@
 def test_contacts_of_a_zone_that_is_cut_off_are_tried_in_turn(
     members: list[Member],
 ) -> None:
-    """Else the zones would not meet again."""
+    """Otherwise the zones would not reconnect."""
     cut_off = [member for member in members if member.zone == "b"]
     for member in cut_off:
         member.lost_at = NOW
@@ -80,12 +80,12 @@
 
 
 def test_contacts_of_many_instances_are_spread(members: list[Member]) -> None:
-    of_zone = [member for member in members if member.zone == "b"]
+    zone_members = [member for member in members if member.zone == "b"]
     chosen_by: dict[str, int] = {}
     for number in range(78):
-        for member in of_zone:
+        for member in zone_members:
             member.affinity = score(member.id, f"other-{number}")
-        for contact in choose_contacts(of_zone, NOW)["b"]:
+        for contact in choose_contacts(zone_members, NOW)["b"]:
             chosen_by[contact.id] = chosen_by.get(contact.id, 0) + 1
     assert max(chosen_by.values()) <= 4 * CONTACTS_PER_ZONE
 
@@ -129,7 +129,7 @@
 async def test_an_instance_that_is_killed_is_lost_elsewhere_at_once(
     world: World, many_peers: None
 ) -> None:
-    """Its near peers see its connections end; those elsewhere have none."""
+    """Its near peers see their connections close; far ones have none."""
     instances = [await world.add_instance(zone=zone) for zone in "aabbbb"]
     await world.ready()
     killed = instances[-1]
@@ -150,16 +150,16 @@
     await world.ready()
     relay = near.mesh._relay
     member = near.mesh.members_by_id[far.settings.instance]
-    said = (member.id, member.incarnation, member.address, member.zone)
+    heartbeat = (member.id, member.incarnation, member.address, member.zone)
     relay._member_lost("", MemberLost(member.id, member.incarnation))
     assert member.lost_at is not None
-    assert relay._record_alive(*said) is None
+    assert relay._record_alive(*heartbeat) is None
     assert member.lost_at is not None
     later = (member.id, f"{member.id}.later", member.address, member.zone)
     assert relay._record_alive(*later) is member
     assert member.lost_at is None
-    # What is still passed on of the life before says nothing.
-    assert relay._record_alive(*said) is None
+    # Relayed heartbeats of the earlier incarnation are ignored.
+    assert relay._record_alive(*heartbeat) is None
     assert member.incarnation == f"{member.id}.later"
 
 
@@ -180,7 +180,7 @@
 async def test_what_was_passed_on_is_not_passed_on_again(
     world: World, many_peers: None
 ) -> None:
-    """Twice and out of order, and among contacts that are each other's."""
+    """Sent repeatedly and out of order, among contacts of each other."""
     instances = [await world.add_instance(zone=zone) for zone in "aabb"]
     await world.ready()
     await asyncio.sleep(HEARTBEAT_INTERVAL_S)
@@ -189,8 +189,8 @@
         instances[0].mesh.send_all(JobNews("j1", "somebody", listed))
     await until(lambda: instances[3].keeper.listed_by_id.get("j1") == 7, 1.0)
     await asyncio.sleep(0.3)
-    passed_on = sum(_sent(one, "Relayed") for one in instances) - before
-    assert passed_on <= 3 * CONTACTS_PER_ZONE
+    relayed = sum(_sent(one, "Relayed") for one in instances) - before
+    assert relayed <= 3 * CONTACTS_PER_ZONE
 
 
 def _sent(instance: GatewayInstance, kind: str) -> int:
@@ -218,33 +218,33 @@
     asking = await world.add_instance(zone="a")
     contact = await world.add_instance(zone="b")
     await world.ready()
-    speaker = asking.settings.instance
+    sender = asking.settings.instance
     body = encode_body(JobNews("j1", "somebody", 7))
-    contact.mesh._relay._relay_requested(speaker, Relay("nobody", body))
-    contact.mesh._relay._relay_requested(speaker, Relay("", b"no message"))
+    contact.mesh._relay._relay_requested(sender, Relay("nobody", body))
+    contact.mesh._relay._relay_requested(sender, Relay("", b"no message"))
     assert "j1" not in contact.keeper.listed_by_id
 
 
 async def test_a_sign_of_life_corrects_counts_that_were_told_since_the_last(
     world: World, many_peers: None
 ) -> None:
-    """One that says what the last one said is skipped only if nothing came between."""
+    """A repeated heartbeat is only skipped if nothing came in between."""
     near = await world.add_instance(zone="a")
     far = await world.add_instance(zone="b")
     await world.ready()
     far.news.send_heartbeat = lambda: None
     await asyncio.sleep(HEARTBEAT_INTERVAL_S)
     member = near.mesh.members_by_id[far.settings.instance]
-    place = [member.id, member.incarnation, member.address, member.zone]
-    sign = RelayedHeartbeats([[*place, False, True, [["i-0", 1, 0, 0.0]]]])
+    location = [member.id, member.incarnation, member.address, member.zone]
+    heartbeat = RelayedHeartbeats([[*location, False, True, [["i-0", 1, 0, 0.0]]]])
     relay = near.mesh._relay
-    relay._receive_heartbeats("", sign)
+    relay._receive_heartbeats("", heartbeat)
     relay._deliver(
         [member.id, member.incarnation, encode_body(Counts([["i-0", 3, 0]]))]
     )
     assert near.fleet.occupancy.count_of(member.id, "i-0").online == 3
-    relay._receive_heartbeats("", sign)
+    relay._receive_heartbeats("", heartbeat)
     assert near.fleet.occupancy.count_of(member.id, "i-0").online == 1
-    heard_at = member.last_received_at
-    relay._receive_heartbeats("", sign)
-    assert member.last_received_at > heard_at
+    received_at = member.last_received_at
+    relay._receive_heartbeats("", heartbeat)
+    assert member.last_received_at > received_at
--- a/tests/gateway/test_cut_off.py
+++ b/tests/gateway/test_cut_off.py
@@ -1,4 +1,4 @@
-"""An instance that is cut off, and what it believes when it is back."""
+"""An instance that was cut off and reconnects with outdated knowledge."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 async def add_slow_runner(world: World) -> None:
-    """Add a runner that takes 20 s for an item, with an event now and then."""
+    """Add a runner that takes 20 s for an item, with an event every 0.5 s."""
     runner = await world.add_runner()
     runner.pause_s = 0.5
     runner.events = 40
@@ -44,7 +44,7 @@
 async def test_who_lost_a_job_to_a_peer_does_not_take_it_back_at_once(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It does not hear the peer yet, for both were cut off from each other."""
+    """It does not receive from the peer yet, as both were cut off from each other."""
     await add_slow_runner(world)
     first = await world.add_instance()
     second = await world.add_instance()
--- a/tests/gateway/test_fresh_counts.py
+++ b/tests/gateway/test_fresh_counts.py
@@ -1,4 +1,4 @@
-"""A request is placed by what peers have told by then."""
+"""The placement of a request uses the counts that peers have sent by then."""
 
 from caperridge.gateway.occupancy import Count
 from gateway.conftest import World
@@ -14,10 +14,10 @@
     occupancy = instance.fleet.occupancy
     slots = instance.fleet.targets.by_id["i-0"].slots
 
-    def hear() -> None:
+    def receive() -> None:
         occupancy.update_peer_count("a peer", "i-0", Count(online=slots))
 
-    instance.edge.read_peers = hear
+    instance.edge.read_peers = receive
     for number in range(4):
         assert (await world.ask(instance, "/ask/1", f"r{number}")).status == 200
     assert len(full.runs) == 0
--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -1,4 +1,4 @@
-"""Many instances: not every change is told to each, yet items start at once."""
+"""A large mesh: not every change goes to every peer, yet items start at once."""
 
 import asyncio
 import collections
@@ -19,18 +19,18 @@
 from gateway.test_jobs import ITEMS, listed
 
 
-class Heard(collections.Counter):
-    """Messages that one instance heard, by kind."""
+class ReceivedCounter(collections.Counter):
+    """Messages that one instance received, by kind."""
 
     def __init__(self, instance: GatewayInstance) -> None:
         super().__init__()
-        hears = instance.mesh._handle
+        handle = instance.mesh._handle
 
-        def heard(member, message) -> None:
+        def received(member, message) -> None:
             self[type(message)] += 1
-            hears(member, message)
+            handle(member, message)
 
-        instance.mesh._handle = heard
+        instance.mesh._handle = received
 
 
 async def test_of_an_idle_peer_only_its_life_is_heard_between_whole_heartbeats(
@@ -40,68 +40,72 @@
     await world.ready()
     await asyncio.sleep(
         HEARTBEAT_INTERVAL_S * 1.5
-    )  # what was new with the connections is told
-    heard = Heard(instances[0])
+    )  # the first messages of the connections have been sent
+    received = ReceivedCounter(instances[0])
     await asyncio.sleep(HEARTBEAT_INTERVAL_S * FULL_HEARTBEAT_PERIOD_BEATS * 2)
     near, far = (
         2,
         FULL_HEARTBEAT_PERIOD_BEATS,
-    )  # the far one tells the two of this zone in turn
-    assert near + far - 2 <= heard[Heartbeat] <= near + far + 2
-    # What the near one passes on of the far one is a sign of its own life as well.
-    signs = (FULL_HEARTBEAT_PERIOD_BEATS - 1) * 2
-    assert signs - 1 <= heard[Alive] + heard[RelayedHeartbeats] <= signs + near + 1
-    kinds = heard[Heartbeat] + heard[Alive] + heard[RelayedHeartbeats]
-    assert sum(heard.values()) == kinds
+    )  # the far one alternates between the two of this zone
+    assert near + far - 2 <= received[Heartbeat] <= near + far + 2
+    # A heartbeat that the near peer relays also shows that the near peer is alive.
+    expected = (FULL_HEARTBEAT_PERIOD_BEATS - 1) * 2
+    assert (
+        expected - 1
+        <= received[Alive] + received[RelayedHeartbeats]
+        <= expected + near + 1
+    )
+    kinds = received[Heartbeat] + received[Alive] + received[RelayedHeartbeats]
+    assert sum(received.values()) == kinds
 
 
 async def test_a_peer_that_is_told_counts_needs_no_sign_of_life(
     world: World, many_peers: None
 ) -> None:
-    hearing = await world.add_instance(zone="a")
-    telling = await world.add_instance(zone="a")
+    receiver = await world.add_instance(zone="a")
+    sender = await world.add_instance(zone="a")
     await world.ready()
     await asyncio.sleep(HEARTBEAT_INTERVAL_S * 1.5)
-    heard = Heard(hearing)
+    received = ReceivedCounter(receiver)
     end = (
         asyncio.get_running_loop().time()
         + HEARTBEAT_INTERVAL_S * FULL_HEARTBEAT_PERIOD_BEATS * 2
     )
     while asyncio.get_running_loop().time() < end:
-        telling.mesh.send_near(Counts([]))
+        sender.mesh.send_near(Counts([]))
         await asyncio.sleep(mesh.RECENTLY_SENT_S / 4)
-    assert heard[Counts] > 0
-    assert heard[Alive] <= 1  # the loop may have been late once
+    assert received[Counts] > 0
+    assert received[Alive] <= 1  # one iteration of the loop may have been late
 
 
 async def test_who_connects_hears_all_counts_without_waiting_for_a_heartbeat(
     world: World, many_peers: None
 ) -> None:
     await world.add_runner(zone="a")
-    telling = await world.add_instance(zone="a")
+    sender = await world.add_instance(zone="a")
     await world.ready()
-    telling.fleet.occupancy.add("i-0", online=2)
-    telling.fleet.notify_changed()
-    telling.news.send_heartbeat = lambda: None
-    hearing = await world.add_instance(zone="b")
-    own = telling.settings.instance
-    await until(lambda: hearing.fleet.occupancy.count_of(own, "i-0").online == 2)
+    sender.fleet.occupancy.add("i-0", online=2)
+    sender.fleet.notify_changed()
+    sender.news.send_heartbeat = lambda: None
+    receiver = await world.add_instance(zone="b")
+    own = sender.settings.instance
+    await until(lambda: receiver.fleet.occupancy.count_of(own, "i-0").online == 2)
 
 
 async def test_a_connection_that_is_made_again_begins_with_all_counts(
     world: World, many_peers: None
 ) -> None:
     await world.add_runner(zone="a")
-    telling = await world.add_instance(zone="a")
-    hearing = await world.add_instance(zone="b")
+    sender = await world.add_instance(zone="a")
+    receiver = await world.add_instance(zone="b")
     await world.ready()
-    telling.news.send_heartbeat = lambda: None
-    telling.fleet.occupancy.add("i-0", online=2)
-    telling.fleet.occupancy.take_changed()
-    for stream in list(hearing.mesh._streams):
+    sender.news.send_heartbeat = lambda: None
+    sender.fleet.occupancy.add("i-0", online=2)
+    sender.fleet.occupancy.take_changed()
+    for stream in list(receiver.mesh._streams):
         stream.close()
-    own = telling.settings.instance
-    await until(lambda: hearing.fleet.occupancy.count_of(own, "i-0").online == 2)
+    own = sender.settings.instance
+    await until(lambda: receiver.fleet.occupancy.count_of(own, "i-0").online == 2)
 
 
 @pytest.mark.parametrize(
@@ -170,7 +174,7 @@
 async def test_an_item_of_a_third_zone_gives_way_to_an_online_request(
     world: World, many_peers: None
 ) -> None:
-    """Who asks does not know who has the item; who grants the slots does."""
+    """The requester does not know who runs the item; the granter does."""
     runner = await world.add_runner(zone="b", slots=1)
     asking = await world.add_instance(zone="a")
     await world.add_instance(zone="b")
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -1,4 +1,4 @@
-"""Copies of tables by peers: asked for when behind, and from one peer at a time."""
+"""Table copies from peers: requested when behind, and from one peer at a time."""
 
 import asyncio
 
@@ -20,10 +20,10 @@
 PEERS = [f"peer-{number}" for number in range(20)]
 
 
-class Asks(list):
+class CopyRequests(list):
     """Peers that were asked for a copy, in order."""
 
-    def note(self, peer: str, message: object) -> bool:
+    def send(self, peer: str, message: object) -> bool:
         if isinstance(message, TableAsk):
             self.append(peer)
         return True
@@ -37,86 +37,86 @@
     return made
 
 
-def beat(version: int) -> Heartbeat:
+def heartbeat(version: int) -> Heartbeat:
     return Heartbeat([], {TABLE: version}, store_reached=True)
 
 
 async def test_a_version_that_was_read_past_is_not_asked_for(
     instance: GatewayInstance,
 ) -> None:
-    """A peer that found a row gone by a whole read dates it by that read."""
-    asks = Asks()
-    instance.mesh.send = asks.note
+    """A peer gives a row that its snapshot lacks the version of that snapshot."""
+    requests = CopyRequests()
+    instance.mesh.send = requests.send
     copy = instance.news.copy_of(TABLE)
     copy.read_version = copy.version + 10
-    instance.news._receive_heartbeat(PEERS[0], beat(copy.version + 5))
+    instance.news._receive_heartbeat(PEERS[0], heartbeat(copy.version + 5))
     await asyncio.sleep(PEER_COPY_DELAY_S * 3)
-    assert asks == []
+    assert requests == []
 
 
 async def test_one_peer_at_a_time_is_asked_for_a_copy(
     instance: GatewayInstance,
 ) -> None:
-    asks = Asks()
-    instance.mesh.send = asks.note
+    requests = CopyRequests()
+    instance.mesh.send = requests.send
     newer = instance.news.copy_of(TABLE).read_version + 100
     for peer in PEERS:
-        instance.news._receive_heartbeat(peer, beat(newer))
-    await until(lambda: asks)
-    assert len(asks) == 1
+        instance.news._receive_heartbeat(peer, heartbeat(newer))
+    await until(lambda: requests)
+    assert len(requests) == 1
     await asyncio.sleep(REQUEST_RETRY_DELAY_S * 2.5)
-    assert 2 <= len(asks) <= 4  # the first did not answer
+    assert 2 <= len(requests) <= 4  # the first did not answer
     rows = [
         ["", row.key.key, row.value, row.version]
         for row in instance.news.copy_of(TABLE).rows_by_key.values()
     ]
-    instance.news._receive_table_whole(asks[-1], TableWhole(TABLE, newer, rows))
-    asked = len(asks)
+    instance.news._receive_table_whole(requests[-1], TableWhole(TABLE, newer, rows))
+    sent = len(requests)
     await asyncio.sleep(REQUEST_RETRY_DELAY_S * 2.5)
-    assert len(asks) == asked
+    assert len(requests) == sent
 
 
 async def test_a_version_told_while_a_copy_is_on_its_way_is_asked_for_at_once(
     instance: GatewayInstance,
 ) -> None:
-    asks = Asks()
-    instance.mesh.send = asks.note
+    requests = CopyRequests()
+    instance.mesh.send = requests.send
     newer = instance.news.copy_of(TABLE).read_version + 100
-    instance.news._receive_heartbeat(PEERS[0], beat(newer))
-    await until(lambda: asks)
-    instance.news._receive_heartbeat(PEERS[1], beat(newer + 1))
+    instance.news._receive_heartbeat(PEERS[0], heartbeat(newer))
+    await until(lambda: requests)
+    instance.news._receive_heartbeat(PEERS[1], heartbeat(newer + 1))
     instance.news._receive_table_whole(PEERS[0], TableWhole(TABLE, newer, []))
-    assert asks == [PEERS[0], PEERS[1]]
+    assert requests == [PEERS[0], PEERS[1]]
 
 
 async def test_a_table_that_is_watched_now_and_then_is_left_to_the_store(
     instance: GatewayInstance,
 ) -> None:
-    asks = Asks()
-    instance.mesh.send = asks.note
+    requests = CopyRequests()
+    instance.mesh.send = requests.send
     clock = LoopClock(still=True)
     index = instance.index.copy
     newer = Heartbeat([], {index.table: index.read_version + 100})
     instance.news._receive_heartbeat(PEERS[0], newer)
     await clock.ahead(INDEX_READ_INTERVAL_S)
-    assert asks == []
-    await clock.ahead_until(lambda: bool(asks))
+    assert requests == []
+    await clock.ahead_until(lambda: bool(requests))
 
 
 async def test_without_the_store_any_table_is_asked_for_soon(
     instance: GatewayInstance,
 ) -> None:
-    asks = Asks()
-    instance.mesh.send = asks.note
+    requests = CopyRequests()
+    instance.mesh.send = requests.send
     instance.reach.record_failure("it is away")
     index = instance.index.copy
     newer = Heartbeat([], {index.table: index.read_version + 100})
     instance.news._receive_heartbeat(PEERS[0], newer)
-    await until(lambda: asks, INDEX_READ_INTERVAL_S)
+    await until(lambda: requests, INDEX_READ_INTERVAL_S)
 
 
 async def test_what_a_peer_counts_is_not_told_on(instance: GatewayInstance) -> None:
-    """Not even a turn of the loop is spent on it."""
+    """It does not even cost an iteration of the event loop."""
     flushed: list[None] = []
     instance.news._flush = lambda: flushed.append(None)
     instance.news._receive_counts(PEERS[0], Counts([["i-0", 1, 0, 0.0]]))
@@ -132,7 +132,7 @@
 async def test_lengths_are_told_once_to_each_of_many_peers(
     instance: GatewayInstance, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each learns them by itself; 45 bytes a service would go out at each beat."""
+    """Each learns them itself; every heartbeat would carry 45 bytes a service."""
     instance.fleet.run_lengths("model").online_s = 0.7
     sent: list[object] = []
     monkeypatch.setattr(instance.mesh, "send_all", sent.append)
@@ -142,5 +142,5 @@
     monkeypatch.setattr(type(instance.mesh), "large", True)
     instance.news._sent_state = ()
     instance.news.send_heartbeat()
-    assert [bool(beat.lengths) for beat in sent] == [True, False]
+    assert [bool(heartbeat.lengths) for heartbeat in sent] == [True, False]
     assert instance.news._first_heartbeat().lengths
--- a/tests/gateway/test_started_again.py
+++ b/tests/gateway/test_started_again.py
@@ -1,8 +1,7 @@
-"""Targets that start again under the name that they had, and entries of no use.
+"""Targets that restart under the same name, and invalid entries.
 
-A target that crashes and starts again is listed under the same name. All that was
-known of its earlier life is wrong from then on: runs that are counted there, failures,
-a time for which it was left alone.
+A target that crashes and restarts is listed under the same name. State of its earlier
+incarnation no longer holds: counted runs, failures, and the time to avoid it.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 from gateway.conftest import World, until
 from gateway.test_jobs import ITEMS, listed
 
-BORN = 1_790_000_000_000
+STARTED_AT_MS = 1_790_000_000_000
 
 
 @pytest.fixture
@@ -25,16 +24,16 @@
     return Fleet("e-0", "a", random.Random(1))
 
 
-def life(number: int, draining: bool = False) -> Target:
+def incarnation(number: int, draining: bool = False) -> Target:
     return Target(f"t@{number}", "model", "10.0.0.1:1", "a", 4, draining, name="t")
 
 
 def test_a_later_life_replaces_the_earlier_one() -> None:
     targets = TargetList()
-    assert targets.put(life(1)) is None
-    assert targets.put(life(1, draining=True)) is None
-    over = targets.put(life(2))
-    assert over is not None and over.id == "t@1"
+    assert targets.put(incarnation(1)) is None
+    assert targets.put(incarnation(1, draining=True)) is None
+    replaced = targets.put(incarnation(2))
+    assert replaced is not None and replaced.id == "t@1"
     assert list(targets.by_id) == ["t@2"]
     targets.remove("t", now=1.0)
     assert not targets.by_id
@@ -42,7 +41,7 @@
 
 def test_an_entry_of_no_use_drops_the_target_also_after_an_outage() -> None:
     targets = TargetList()
-    targets.put(life(1))
+    targets.put(incarnation(1))
     targets.store_returned(10.0)
     assert targets.discard("t")
     assert not targets.by_id
@@ -51,31 +50,31 @@
 
 
 def test_nothing_of_an_earlier_life_counts_for_a_target(fleet: Fleet) -> None:
-    fleet.targets.put(life(1))
-    fleet.record_failure(life(1), WrongAnswer("an event out of order"), 0.0)
+    fleet.targets.put(incarnation(1))
+    fleet.record_failure(incarnation(1), WrongAnswer("an event out of order"), 0.0)
     fleet.mark_replaced("t@1", 0.0)
     fleet.record_item_refusal("t@1", 0.0)
     fleet.occupancy.update_peer_count("peer", "t@1", Count(online=4))
     assert not fleet.takes_items("t@1", 0.1)
-    fleet.targets.put(life(2))
+    fleet.targets.put(incarnation(2))
     fleet.discard_removed()
     assert fleet.takes_items("t@2", 0.1)
     assert [target.id for target in fleet.usable("model", 0.1)] == ["t@2"]
-    # A peer that has not heard of the new life yet tells of the old one.
+    # A peer that does not know the new incarnation yet sends counts of the old one.
     fleet.occupancy.update_peer_count("peer", "t@1", Count(online=3))
     assert fleet.occupancy.total_at("t@2").total == 0
 
 
 async def test_a_target_that_started_again_is_used_at_once(world: World) -> None:
     runner = await world.add_runner()
-    world.list_runner(runner, born=BORN)
+    world.list_runner(runner, born=STARTED_AT_MS)
     instance = await world.add_instance()
     await world.ready()
     [target] = instance.fleet.targets.by_id.values()
     now = asyncio.get_running_loop().time()
     instance.fleet.mark_replaced(target.id, now)
     instance.fleet.occupancy.update_peer_count("peer", target.id, Count(online=100))
-    world.list_runner(runner, born=BORN + 5)
+    world.list_runner(runner, born=STARTED_AT_MS + 5)
     await until(lambda: target.id not in instance.fleet.targets.by_id)
     answer = await world.ask(instance, "/once/1", "r1")
     assert answer.data == runner.text("r1")
@@ -83,7 +82,7 @@
 
 async def test_streams_of_the_earlier_life_are_moved_or_ended(world: World) -> None:
     runner = await world.add_runner(slots=64)
-    world.list_runner(runner, born=BORN)
+    world.list_runner(runner, born=STARTED_AT_MS)
     instance = await world.add_instance()
     await world.ready()
     runner.silent_after = 2
@@ -91,11 +90,11 @@
     ended = asyncio.create_task(world.ask(instance, "/once/1", "r2"))
     await until(lambda: [run.silent for run in runner.runs] == [True, True])
     runner.silent_after = None
-    world.list_runner(runner, born=BORN + 5)
+    world.list_runner(runner, born=STARTED_AT_MS + 5)
     answer = await moved
     assert answer.data == runner.text("r1")
     assert [run.resumed_after for run in runner.runs if run.id == "r1"] == [0, 2]
-    # It may run once only and has begun, so it is cut and not sent again.
+    # It may run only once and has started, so it is cut and not sent again.
     assert not (await ended).whole
     assert [run.id for run in runner.runs].count("r2") == 1
 
@@ -104,13 +103,13 @@
     world: World,
 ) -> None:
     runner = await world.add_runner(slots=64)
-    world.list_runner(runner, born=BORN)
+    world.list_runner(runner, born=STARTED_AT_MS)
     instance = await world.add_instance()
     await world.ready()
     runner.hold_head = True
     asked = asyncio.create_task(world.ask(instance, "/once/1", "r1"))
     await until(lambda: len(runner.runs) == 1)
-    world.list_runner(runner, born=BORN + 5)
+    world.list_runner(runner, born=STARTED_AT_MS + 5)
     assert (await asked).status == 502
     runner.hold_head = False
     assert len(runner.runs) == 1
--- a/tests/gateway/test_store_contract.py
+++ b/tests/gateway/test_store_contract.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of a store, of the direct way and of the way through a peer."""
+"""Contract of the store, called directly and through a peer."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -37,11 +37,11 @@
         await direct.close()
         return
     await world.add_instance()
-    turned_away = await world.add_instance()
+    cut_off = await world.add_instance()
     await world.ready()
-    await until(lambda: any(m.store_reached for m in turned_away.mesh.alive()))
-    world.store_of(turned_away)._base = NOWHERE
-    yield turned_away._store
+    await until(lambda: any(m.store_reached for m in cut_off.mesh.alive()))
+    world.store_of(cut_off)._base = NOWHERE
+    yield cut_off._store
     await direct.close()
 
 
@@ -124,14 +124,14 @@
 ) -> None:
     since = (await direct.read("t")).ok_value.version
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     watching = asyncio.ensure_future(direct.changes("t", since, 5.0))
     await asyncio.sleep(0.05)
     world.store.put("other", "x", 1)
     world.store.put("t", "a", 1)
     page = (await watching).ok_value
     assert [row.key.key for row in page.rows] == ["a"]
-    assert loop.time() - began < 2.0
+    assert loop.time() - started_at < 2.0
     world.store.remove("t", "a")
     page = (await direct.changes("t", page.version, 1.0)).ok_value
     assert [(row.key.key, row.removed) for row in page.rows] == [("a", True)]
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams between instances."""
+"""Message streams between instances."""
 
 import asyncio
 import inspect
@@ -19,7 +19,7 @@
 
 
 async def test_a_stream_that_went_silent_ends_by_itself() -> None:
-    """Loopback loses nothing, so what the system was asked to do is looked at."""
+    """Loopback loses no packets, so the socket options are checked."""
     server = await asyncio.get_running_loop().create_server(
         asyncio.Protocol, "127.0.0.1", 0
     )
@@ -56,7 +56,7 @@
 
 
 async def test_who_is_near_is_told_anew_after_members_changed(world: World) -> None:
-    """The list is kept between changes of members."""
+    """The list of near peers is cached between changes of members."""
     first = await world.add_instance(zone="a")
     second = await world.add_instance(zone="a")
     await world.ready()
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -1,4 +1,4 @@
-"""At size two instances of a zone read a table of the store for all of it."""
+"""Table readers: in a large mesh two instances of a zone read a table for all."""
 
 import asyncio
 import random
@@ -39,8 +39,8 @@
     return [one for one in instances if _watcher(one, table).is_reader]
 
 
-async def _stop_watching(instance: GatewayInstance) -> None:
-    """Have an instance ask the store for no table any more."""
+async def _stop_watchers(instance: GatewayInstance) -> None:
+    """Cancel an instance's table watchers."""
     ended = [task for task in instance._tasks if "TableWatcher" in repr(task)]
     assert len(ended) == len(instance._watchers)
     for task in ended:
@@ -68,7 +68,7 @@
     readers = _readers(instances, TARGETS)
     others = [one for one in instances if one not in readers]
     for other in others:
-        await _stop_watching(other)
+        await _stop_watchers(other)
     world.list_runner(world.runners[0], state="draining")
     for other in others:
         target = other.fleet.targets.find_by_name("i-0")
@@ -87,7 +87,7 @@
     readers = _readers(instances, table)
     for other in instances:
         if other not in readers:
-            await _stop_watching(other)
+            await _stop_watchers(other)
     world.configure(2, ROUTES)
     for instance in instances:
         await until(lambda one=instance: one.configuration.table.version == 2, 1.0)
@@ -142,7 +142,7 @@
 def test_changes_before_the_table_was_read_say_nothing(
     copy_watcher: watching.TableWatcher,
 ) -> None:
-    """Who took them for all there is would serve with a part of the targets."""
+    """Taking them for the whole table would serve with a part of the targets."""
     copy_watcher.apply_changes_from_peer([_row(5, b"x")], 0, 5, "peer")
     assert not copy_watcher.copy.loaded
     assert copy_watcher.taken == []
@@ -174,19 +174,19 @@
 async def _read_pages(
     watcher: watching.TableWatcher, *pages: list[StoredRow]
 ) -> list[tuple[int, int, int]]:
-    """Have a watcher read these; return what it passed on: rows, since, version."""
-    passed: list[tuple[int, int, int]] = []
-    watcher.publish = lambda rows, since, version: passed.append(
+    """Have a watcher read the pages; return what it published: rows, since, version."""
+    published: list[tuple[int, int, int]] = []
+    watcher.publish = lambda rows, since, version: published.append(
         (len(rows), since, version)
     )
     watcher._store = PagedStore(pages)
     for _ in pages:
         await watcher._watch(0.0)
-    return passed
+    return published
 
 
 class PagedStore:
-    """A feed that answers with these pages, in turn."""
+    """A change feed that answers with these pages in turn."""
 
     def __init__(self, pages: tuple[list[StoredRow], ...]) -> None:
         self._pages = list(pages)
@@ -200,12 +200,12 @@
 async def test_a_reader_passes_on_what_it_wrote_itself(
     copy_watcher: watching.TableWatcher,
 ) -> None:
-    """It is no news to it, but to the others."""
+    """The row is known to this instance, but not to the others."""
     copy_watcher.copy.apply_snapshot([], 3)
     own = _row(5, b"x")
     copy_watcher.copy.apply_row(own)
-    passed = await _read_pages(copy_watcher, [own], [], [_row(9, b"y")])
-    assert passed == [(1, 3, 5), (1, 5, 9)]
+    published = await _read_pages(copy_watcher, [own], [], [_row(9, b"y")])
+    assert published == [(1, 3, 5), (1, 5, 9)]
 
 
 async def test_what_another_reader_passed_on_is_not_passed_on_again(
@@ -213,18 +213,18 @@
 ) -> None:
     copy_watcher.copy.apply_snapshot([], 3)
     copy_watcher.apply_changes_from_peer([_row(5, b"x")], 3, 5, "peer")
-    passed = await _read_pages(copy_watcher, [_row(5, b"x")], [_row(6, b"y")])
-    assert passed == [(1, 5, 6)]
+    published = await _read_pages(copy_watcher, [_row(5, b"x")], [_row(6, b"y")])
+    assert published == [(1, 5, 6)]
 
 
 async def test_entries_that_lapsed_in_an_outage_are_kept_by_who_did_not_see_it(
     world: World, many_peers: None
 ) -> None:
-    """A reader saw the store away; the others hear of it with the changes."""
+    """A reader saw the outage; the others learn of it with the changes."""
     instances = await _zone(world)
     reader = _readers(instances, TARGETS)[0]
     other = next(one for one in instances if one not in _readers(instances, TARGETS))
-    await _stop_watching(other)
+    await _stop_watchers(other)
     loop = asyncio.get_running_loop()
     reader.fleet.targets.store_returned(loop.time())
     world.store.remove("servers", "i-0")
@@ -237,21 +237,21 @@
 ) -> None:
     instances = await _zone(world)
     other = next(one for one in instances if one not in _readers(instances, TARGETS))
-    asked: list[str] = []
+    calls: list[str] = []
     store = world.store_of(other)
     changes = store.changes
 
-    async def noted(table: str, since: int, wait_s: float):
-        asked.append(table)
+    async def record(table: str, since: int, wait_s: float):
+        calls.append(table)
         return await changes(table, since, wait_s)
 
-    store.changes = noted
+    store.changes = record
     clock = LoopClock(still=True)
-    await clock.ahead_until(lambda: TARGETS in asked)
+    await clock.ahead_until(lambda: TARGETS in calls)
 
 
 class LateStore:
-    """One table whose feed answers late, with what there was when it was asked."""
+    """One table whose feed answers late, with the rows of when it was asked."""
 
     def __init__(self, chance: random.Random) -> None:
         self.version = 0
@@ -259,7 +259,7 @@
         self._chance = chance
 
     def write(self) -> StoredRow:
-        self.version += self._chance.randint(1, 3)  # other tables change as well
+        self.version += self._chance.randint(1, 3)  # other tables change too
         key = RowKey("t", "", f"k{self._chance.randint(0, 30)}")
         row = StoredRow(key, b"x", self.version)
         self.rows_by_key[key] = row
@@ -276,10 +276,10 @@
 
 @pytest.mark.parametrize("seed", range(30))
 async def test_who_believes_to_know_all_up_to_a_version_lacks_no_row(seed: int) -> None:
-    """Seen: a job that had been accepted was not found where its entry was skipped.
+    """A skipped row once hid a job that had been accepted.
 
-    Two read at once, pass on, lose what they pass on, and write rows themselves; the
-    whole table is read beside the watch, too.
+    Two watchers read at once, publish, lose some of what they publish, and write rows
+    themselves; the whole table is read during the long polls, too.
     """
     chance = random.Random(seed)
     store = LateStore(chance)
@@ -293,25 +293,25 @@
         for _ in range(4)
     ]
 
-    def passer(speaker: watching.TableWatcher) -> watching.Publish:
+    def make_publish(sender: watching.TableWatcher) -> watching.Publish:
         def publish(rows: list[StoredRow], since: int, version: int) -> None:
-            for hearer in watchers:
-                if hearer is not speaker and chance.random() < 0.8:
-                    hearer.apply_changes_from_peer(rows, since, version, "peer")
+            for receiver in watchers:
+                if receiver is not sender and chance.random() < 0.8:
+                    receiver.apply_changes_from_peer(rows, since, version, "peer")
 
         return publish
 
     for watcher in watchers:
         watcher.copy.apply_snapshot([], 0)
-        watcher.publish = passer(watcher)
-    asked: set[asyncio.Task] = set()
+        watcher.publish = make_publish(watcher)
+    calls: set[asyncio.Task] = set()
     for _ in range(200):
         if chance.random() < 0.4:
             row = store.write()
             if chance.random() < 0.3:
                 chance.choice(watchers).copy.apply_row(row)
-        if chance.random() < 0.5 and len(asked) < 3:
-            asked.add(asyncio.ensure_future(chance.choice(watchers[:2])._watch(1.0)))
+        if chance.random() < 0.5 and len(calls) < 3:
+            calls.add(asyncio.ensure_future(chance.choice(watchers[:2])._watch(1.0)))
         if chance.random() < 0.05:
             whole = list(store.rows_by_key.values())
             chance.choice(watchers).apply_snapshot_from_peer(
@@ -321,20 +321,20 @@
             whole = list(store.rows_by_key.values())
             chance.choice(watchers).copy.apply_snapshot(whole, store.version)
         await asyncio.sleep(0)
-        asked = {one for one in asked if not one.done()}
+        calls = {one for one in calls if not one.done()}
         for watcher in watchers:
             known = watcher.copy.rows_by_key
             for key, row in store.rows_by_key.items():
                 if row.version <= watcher.copy.read_version:
                     assert known.get(key) == row
-    await asyncio.gather(*asked)
+    await asyncio.gather(*calls)
 
 
 @pytest.mark.parametrize(("zone", "rechecks"), [("a", 1), ("b", 0)])
 async def test_only_a_near_peer_that_the_store_turns_away_makes_others_look(
     world: World, many_peers: None, zone: str, rechecks: int
 ) -> None:
-    """Only near peers read for this instance; a far zone may lose the store whole."""
+    """Only near peers read for this instance; a far zone may lose the whole store."""
     instance = await world.add_instance(zone="a")
     peer = await world.add_instance(zone=zone)
     await world.ready()
@@ -342,7 +342,7 @@
     peer.news.send_heartbeat = lambda: None
     await asyncio.sleep(HEARTBEAT_INTERVAL_S)
     instance.news._receive_heartbeat(id, Heartbeat([], {}, store_reached=True))
-    looked: list[None] = []
-    instance.reach.recheck = lambda: looked.append(None)
+    rechecked: list[None] = []
+    instance.reach.recheck = lambda: rechecked.append(None)
     instance.news._receive_heartbeat(id, Heartbeat([], {}, store_reached=False))
-    assert len(looked) == rechecks
+    assert len(rechecked) == rechecks
