--- a/src/caperridge/gateway/held_rows.py
+++ b/src/caperridge/gateway/held_rows.py
@@ -130,10 +130,14 @@
         suspect = self._quarantine.by_content.get(content)
         if suspect is not None and _is_stored(suspect):
             value = self._encode(suspect)
-            return await self._transact(Transaction({key: version}, {key: value}), key)
+            return await self._apply_transaction(
+                Transaction({key: version}, {key: value}), key
+            )
         if row is None:
             return True
-        return await self._transact(Transaction({key: version}, {}, [key]), key)
+        return await self._apply_transaction(
+            Transaction({key: version}, {}, [key]), key
+        )
 
     async def claim_trial(self, suspect: Suspect) -> bool:
         """Claim the next trial of a request; only one instance gets each."""
@@ -148,14 +152,14 @@
         transaction = Transaction({key: version}, {key: value})
         try:
             async with asyncio.timeout(CLAIM_TIMEOUT_S):
-                done = await self._transact(transaction, key)
+                done = await self._apply_transaction(transaction, key)
         except TimeoutError:
             done = False
         if done:
             suspect.hold = claimed
         return done
 
-    async def _transact(self, transaction: Transaction, key: RowKey) -> bool:
+    async def _apply_transaction(self, transaction: Transaction, key: RowKey) -> bool:
         answer = await self._store.transact(transaction)
         if not isinstance(answer, Err):
             value = transaction.writes.get(key)
@@ -182,19 +186,19 @@
                     log.info("hold removed", content=content, source=source)
                 continue
             try:
-                held = from_bytes(HeldRow, row.value)
-                ends, hold = self._decode(held)
+                stored = from_bytes(HeldRow, row.value)
+                crashes, hold = self._decode(stored)
             except (UnreadableError, ValueError, TypeError) as error:
                 log.error("invalid held row", content=content, reason=str(error))
                 continue
-            if self._quarantine.merge(content, ends, hold):
+            if self._quarantine.merge(content, crashes, hold):
                 changed.append(content)
                 log.info(
                     "hold applied",
                     content=content,
-                    ends=len(ends),
+                    ends=len(crashes),
                     held=hold is not None,
-                    trials=held.trials,
+                    trials=stored.trials,
                     source=source,
                     version=row.version,
                 )
@@ -211,15 +215,15 @@
     def _encode(self, suspect: Suspect, hold: Hold | None = None) -> bytes:
         ahead_s = self._clock.now() - elapsed_s()
         hold = hold or suspect.hold
-        ends = [
+        crashes = [
             [e.target, e.caller, e.age_s, e.events, e.at + ahead_s, e.reported_by]
             for e in suspect.crashes
         ]
         if hold is None:
-            return to_bytes(HeldRow(ends, [], 0.0, 0, 0.0))
+            return to_bytes(HeldRow(crashes, [], 0.0, 0, 0.0))
         return to_bytes(
             HeldRow(
-                ends,
+                crashes,
                 sorted(hold.callers),
                 hold.since + ahead_s,
                 hold.trials,
@@ -237,9 +241,9 @@
         # A peer's row that comes before the store has answered counts as new.
         store_s = self._clock.now() if self._clock.known else row.since
         ahead_s = store_s - elapsed_s()
-        ends: list[Crash] = []
+        crashes: list[Crash] = []
         for target, caller, age_s, events, at, reported_by in row.ends:
-            end = Crash(
+            crash = Crash(
                 str(target),
                 str(caller),
                 float(age_s),
@@ -247,12 +251,12 @@
                 at - ahead_s,
                 str(reported_by),
             )
-            ends.append(end)
+            crashes.append(crash)
         if not row.since:
-            return ends, None
+            return crashes, None
         callers = frozenset(row.callers)
         trial_at = row.trial_at - ahead_s
-        return ends, Hold(callers, row.since - ahead_s, row.trials, trial_at)
+        return crashes, Hold(callers, row.since - ahead_s, row.trials, trial_at)
 
 
 def _key(content: str) -> RowKey:
--- a/src/caperridge/gateway/mesh/dialers.py
+++ b/src/caperridge/gateway/mesh/dialers.py
@@ -18,7 +18,7 @@
 # than this is reconnected while its peer is silent or reports receiving nothing. It is
 # twice the silence after which a near peer is lost: a stalled peer gets a connection
 # from each other peer this often.
-RENEW_AFTER_S = 3.0
+RECONNECT_AFTER_S = 3.0
 # Members are learnt in bursts: the whole list, or all peers after all were lost.
 RECONCILE_DELAY_S = 0.05
 # A contact that cannot be reached is replaced for this long.
@@ -121,12 +121,12 @@
         for address in desired:
             self._dial(address)
 
-    def renew(self, member: Member) -> None:
+    def reconnect_if_old(self, member: Member) -> None:
         """Close the stream to a member if it is old, so that it is reconnected."""
         stream = self.stream_to(member)
         if stream is None:
             return
-        if asyncio.get_running_loop().time() - stream.opened_at > RENEW_AFTER_S:
+        if asyncio.get_running_loop().time() - stream.opened_at > RECONNECT_AFTER_S:
             log.info("reconnecting stream", peer=member.id)
             stream.close()
 
@@ -177,7 +177,7 @@
                 await stream.run_once()
             except (OSError, TimeoutError):
                 self._dial_failed(stream.address)
-            if loop.time() - started_at < RENEW_AFTER_S:
+            if loop.time() - started_at < RECONNECT_AFTER_S:
                 await asyncio.sleep(REDIAL_DELAY_S)
 
     def _dial_failed(self, address: str) -> None:
--- a/src/caperridge/gateway/mesh/mesh.py
+++ b/src/caperridge/gateway/mesh/mesh.py
@@ -178,7 +178,7 @@
                 if silence_s <= FAR_SILENCE_TIMEOUT_S and not self.is_near(member):
                     continue
                 self.mark_lost(member, "it is silent")
-            self._dialers.renew(member)
+            self._dialers.reconnect_if_old(member)
             if now - max(member.lost_at, member.listed_at) > EXPIRY_S:
                 self.roster.remove(member)
         self._dialers.reconcile_if_due()
@@ -331,7 +331,7 @@
         for id, address, zone in hello.members:
             self.learn(id, address, zone)
         if self.instance in hello.unheard:
-            self._dialers.renew(member)
+            self._dialers.reconnect_if_old(member)
         self._handle(member, None)
         knows_few = len(hello.members) < MIN_KNOWN_MEMBERS
         if knows_few and not self.is_near(member):
--- a/src/caperridge/gateway/mesh/paced_reading.py
+++ b/src/caperridge/gateway/mesh/paced_reading.py
@@ -15,7 +15,7 @@
 # requested, granted and used by three messages within the 80 ms that a grant lasts, and
 # the placement of a request reads first.
 READ_INTERVAL_S = 0.02
-READ_BYTES = 256 * 2**10
+MAX_READ_BYTES = 256 * 2**10
 # Messages of 20 ms add up to some kilobytes; a read of this size is part of a message
 # so large that delays between its parts would add up.
 LARGE_READ_BYTES = 32 * 2**10
@@ -119,7 +119,7 @@
         if callback is None:
             return
         try:
-            data = os.read(descriptor, READ_BYTES)
+            data = os.read(descriptor, MAX_READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
--- a/src/caperridge/gateway/news.py
+++ b/src/caperridge/gateway/news.py
@@ -86,7 +86,7 @@
         self._urgent_tables = [
             watcher.copy.table for watcher in watchers if not watcher.min_interval_s
         ]
-        self._beats = 0
+        self._heartbeat_count = 0
         self._flushing = False
         self._counts_received = False
         self._sent_state: tuple[Any, ...] = ()
@@ -100,7 +100,7 @@
         mesh.register(TableChanges, self._receive_table_changes)
         for watcher in watchers:
             watcher.publish = functools.partial(self._publish, watcher)
-        mesh.on_appear(self._appeared)
+        mesh.on_appear(self._member_appeared)
         mesh.on_lost(self._peer_lost)
         mesh.send_on_connect(self._first_heartbeat)
         mesh.on_messages_received(self._batch_received)
@@ -111,21 +111,22 @@
         Where there are many peers, far contacts get every heartbeat in full.
         """
         state = self._state()
-        self._beats += 1
+        self._heartbeat_count += 1
         self._mesh.relay_heartbeats()
         unchanged = (
-            state == self._sent_state and self._beats % FULL_HEARTBEAT_PERIOD_BEATS
+            state == self._sent_state
+            and self._heartbeat_count % FULL_HEARTBEAT_PERIOD_BEATS
         )
         if unchanged and not self._mesh.large:
             self._mesh.send_to_idle(Alive())
             return
-        whole = self._full_heartbeat(with_lengths=not self._mesh.large)
-        self._mesh.send_contacts(whole, all_contacts=self.leaving)
+        heartbeat = self._full_heartbeat(with_lengths=not self._mesh.large)
+        self._mesh.send_contacts(heartbeat, all_contacts=self.leaving)
         if unchanged:
             self._mesh.send_to_idle(Alive())
             return
         self._sent_state = state
-        self._mesh.send_near(whole)
+        self._mesh.send_near(heartbeat)
 
     def _state(self) -> tuple[Any, ...]:
         """Return the state that only heartbeats carry."""
@@ -160,7 +161,7 @@
         ]
         return Heartbeat(counts, versions, self.leaving, self._reach.reached, lengths)
 
-    def _appeared(self, member: Member) -> None:
+    def _member_appeared(self, member: Member) -> None:
         """Send everything to a peer that was lost and has dropped its state.
 
         A far peer learns of this instance with the next heartbeat of a contact.
@@ -299,11 +300,11 @@
     def _note_peer_version(self, peer: str, table: str, version: int) -> None:
         if table not in self._watchers_by_table or self._includes(table, version):
             return
-        behind = self._stale_by_table.get(table)
-        if behind is not None:
-            if version >= behind.version:
-                behind.version = version
-                behind.peer = peer
+        stale = self._stale_by_table.get(table)
+        if stale is not None:
+            if version >= stale.version:
+                stale.version = version
+                stale.peer = peer
             return
         timer = self._schedule_request(self._store_wait_s(table), table)
         self._stale_by_table[table] = StaleTable(version, peer, timer)
@@ -333,18 +334,18 @@
 
     def _request_if_stale(self, table: str) -> None:
         """Ask a peer for its copy; ask again, or another, if no answer comes soon."""
-        behind = self._stale_by_table[table]
-        if self._includes(table, behind.version):
+        stale = self._stale_by_table[table]
+        if self._includes(table, stale.version):
             del self._stale_by_table[table]
             return
-        if not self._mesh.send(behind.peer, TableAsk(table)):
+        if not self._mesh.send(stale.peer, TableAsk(table)):
             del self._stale_by_table[table]  # a peer's next heartbeat starts anew
             return
-        behind.requested_version = behind.version
-        behind.timer = self._schedule_request(REQUEST_RETRY_DELAY_S, table)
+        stale.requested_version = stale.version
+        stale.timer = self._schedule_request(REQUEST_RETRY_DELAY_S, table)
 
-    def _receive_table_ask(self, peer: str, ask: TableAsk) -> None:
-        watcher = self._watchers_by_table.get(ask.table)
+    def _receive_table_ask(self, peer: str, request: TableAsk) -> None:
+        watcher = self._watchers_by_table.get(request.table)
         if watcher is None or not watcher.copy.loaded:
             return
         rows = [
@@ -352,18 +353,18 @@
             for key, row in watcher.copy.rows_by_key.items()
         ]
         version = watcher.copy.read_version
-        self._mesh.send(peer, TableWhole(ask.table, version, rows))
+        self._mesh.send(peer, TableWhole(request.table, version, rows))
 
-    def _receive_table_whole(self, peer: str, whole: TableWhole) -> None:
-        watcher = self._watchers_by_table.get(whole.table)
+    def _receive_table_whole(self, peer: str, message: TableWhole) -> None:
+        watcher = self._watchers_by_table.get(message.table)
         if watcher is None:
             return
         rows = [
-            StoredRow(RowKey(whole.table, part, key), value, version)
-            for part, key, value, version in whole.rows
+            StoredRow(RowKey(message.table, part, key), value, version)
+            for part, key, value, version in message.rows
         ]
-        watcher.apply_snapshot_from_peer(rows, whole.version, peer)
-        behind = self._stale_by_table.get(whole.table)
-        if behind is not None and behind.version > behind.requested_version:
-            behind.timer.cancel()
-            self._request_if_stale(whole.table)
+        watcher.apply_snapshot_from_peer(rows, message.version, peer)
+        stale = self._stale_by_table.get(message.table)
+        if stale is not None and stale.version > stale.requested_version:
+            stale.timer.cancel()
+            self._request_if_stale(message.table)
--- a/src/caperridge/gateway/observed_store.py
+++ b/src/caperridge/gateway/observed_store.py
@@ -77,11 +77,11 @@
         return await self._observed("drop_object", self._store.drop_object(name))
 
     async def _observed(self, name: str, call: Awaitable[Result[T, E]]) -> Result[T, E]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         answer = await call
         if name != "changes":
-            took_s = time.monotonic() - began
-            self._metrics.store_seconds.labels(name).observe(took_s)
+            duration_s = time.monotonic() - started_at
+            self._metrics.store_seconds.labels(name).observe(duration_s)
         failed = isinstance(answer, Err)
         outcome = type(answer.err_value).__name__ if failed else "done"
         self._metrics.store_calls.labels(name, outcome).inc()
--- a/src/caperridge/gateway/relayed_store.py
+++ b/src/caperridge/gateway/relayed_store.py
@@ -160,19 +160,21 @@
         choices = near or reaching
         return self._chance.choice(choices) if choices else None
 
-    def _serve(self, peer: str, ask: StoreAsk) -> None:
-        task = asyncio.get_running_loop().create_task(self._relay(peer, ask))
+    def _serve(self, peer: str, request: StoreAsk) -> None:
+        task = asyncio.get_running_loop().create_task(self._relay(peer, request))
         self._relay_tasks.add(task)
         task.add_done_callback(self._relay_tasks.discard)
 
-    async def _relay(self, peer: str, ask: StoreAsk) -> None:
+    async def _relay(self, peer: str, request: StoreAsk) -> None:
         try:
-            answer = await _call_store(self._store, ask.call, ask.arguments)
+            answer = await _call_store(self._store, request.call, request.arguments)
         except (TypeError, ValueError) as error:
-            log.error("call not relayed", peer=peer, call=ask.call, reason=str(error))
+            log.error(
+                "call not relayed", peer=peer, call=request.call, reason=str(error)
+            )
             return
         outcome, fields = answer_to_plain(answer)
-        self._mesh.send(peer, StoreAnswer(ask.number, outcome, fields))
+        self._mesh.send(peer, StoreAnswer(request.number, outcome, fields))
 
     def _receive_answer(self, peer: str, answer: StoreAnswer) -> None:
         future = self._pending_by_number.get(answer.number)
--- a/src/caperridge/gateway/repeating_store.py
+++ b/src/caperridge/gateway/repeating_store.py
@@ -31,7 +31,7 @@
 E = TypeVar("E")
 
 # An answer is overdue after this many times the recent mean. The store handles the
-# calls of one part in sequence, so that some wait for a few others.
+# calls of one partition in sequence, so that some wait for a few others.
 HEDGE_DELAY_RATIO = 4.0
 # Lower bound for a fast store, so that a pause of this process does not look overdue.
 MIN_HEDGE_DELAY_S = 0.08
@@ -118,12 +118,14 @@
         self, name: str, call: Callable[[], Awaitable[Result[T, E]]]
     ) -> Result[T, E]:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         answer = await call()
         if not isinstance(answer, Err) or isinstance(answer.err_value, Refused):
-            took_s = loop.time() - began
-            mean_s = self._mean_s_by_call.get(name, took_s)
-            self._mean_s_by_call[name] = mean_s + SMOOTHING_RATIO * (took_s - mean_s)
+            duration_s = loop.time() - started_at
+            mean_s = self._mean_s_by_call.get(name, duration_s)
+            self._mean_s_by_call[name] = mean_s + SMOOTHING_RATIO * (
+                duration_s - mean_s
+            )
         return answer
 
 
--- a/src/caperridge/gateway/rows.py
+++ b/src/caperridge/gateway/rows.py
@@ -1,6 +1,6 @@
 """Interface of the store: versioned rows with compare-and-set, changes, and objects.
 
-A transaction checks versions of rows and then writes, all or nothing, in one part.
+A transaction checks versions of rows and then writes, all or nothing, in one partition.
 Every call ends done, not done, or unknown: an unknown one may still take effect
 seconds later if its conditions hold then, so each later decision needs a condition that
 such an effect would break.
@@ -17,7 +17,7 @@
 
 
 class RowKey(Record):
-    """Name of a row; a transaction's rows share their ``part``."""
+    """Name of a row; ``part`` is its partition, shared by all rows of a transaction."""
 
     __slots__ = ("key", "part", "table")
 
@@ -66,7 +66,7 @@
 
 
 class Transaction(Record):
-    """Conditions and writes of a transaction, all in one part.
+    """Conditions and writes of a transaction, all in one partition.
 
     Attributes:
         versions: version that each row must have, by key; ``ABSENT`` for none.
@@ -148,7 +148,7 @@
     async def changes(
         self, table: str, since: int, wait_s: float
     ) -> Result[RowsRead, ChangesError]:
-        """Return the rows of all parts of ``table`` that changed after ``since``.
+        """Return the rows of all partitions of ``table`` that changed after ``since``.
 
         Waits for a change for up to ``wait_s``.
         """
@@ -169,7 +169,7 @@
 async def read_all_rows(
     store: RowStore, table: str, part: str = ""
 ) -> Result[RowsRead, StoreError]:
-    """Read all rows of a table's part, page by page.
+    """Read all rows of a table's partition, page by page.
 
     The version and time are those of the first page; rows that were written during the
     read may be included or not.
--- a/src/caperridge/gateway/table_copy.py
+++ b/src/caperridge/gateway/table_copy.py
@@ -52,9 +52,9 @@
         for key, row in list(self.rows_by_key.items()):
             if key in listed or row.version > version:
                 continue
-            gone = StoredRow(key, b"", version, removed=True)
-            if self._put(gone):
-                changed.append(gone)
+            removed_row = StoredRow(key, b"", version, removed=True)
+            if self._put(removed_row):
+                changed.append(removed_row)
         self.read_version = version
         self.settled_version = max(self.settled_version, version)
         return changed
@@ -79,8 +79,8 @@
             return False
         return self._put(row)
 
-    def rows_in_part(self, part: str) -> list[StoredRow]:
-        """Return the rows of ``part``."""
+    def rows_in_partition(self, part: str) -> list[StoredRow]:
+        """Return the rows of partition ``part``."""
         return [row for key, row in self.rows_by_key.items() if key.part == part]
 
     def _put(self, row: StoredRow) -> bool:
--- a/src/caperridge/gateway/watcher.py
+++ b/src/caperridge/gateway/watcher.py
@@ -29,9 +29,9 @@
 PEER_COPY_DELAY_S = 0.04
 # Interval of polls of a table that other instances read. With four tables an instance
 # finds out every 3 s whether it reaches the store.
-NON_READER_POLL_S = 12.0
+NON_READER_POLL_INTERVAL_S = 12.0
 # Share of that interval by which polls are spread.
-POLL_JITTER = 0.5
+POLL_JITTER_RATIO = 0.5
 
 Changed = Callable[[list[StoredRow], str], None]
 Publish = Callable[[list[StoredRow], int, int], None]
@@ -125,17 +125,17 @@
     async def run(self) -> None:
         """Poll until cancelled."""
         pause_s = MIN_RETRY_DELAY_S
-        whole = True
+        read_all = True
         failed = False
         while True:
             # After a failure, ask for an answer at once instead of at the next change.
             wait_s = 0.0 if failed or not self.is_reader else LONG_POLL_S
-            answer = await (self._read() if whole else self._watch(wait_s))
+            answer = await (self._read_all() if read_all else self._poll(wait_s))
             if isinstance(answer, Err):
                 error = answer.err_value
                 if isinstance(error, HistoryGone):
                     log.info("change history expired", table=self.copy.table)
-                    whole = True
+                    read_all = True
                     continue
                 failed = True
                 self._reach.record_failure(error.reason)
@@ -143,7 +143,7 @@
                 pause_s = min(MAX_RETRY_DELAY_S, pause_s * 2)
                 continue
             pause_s = MIN_RETRY_DELAY_S
-            whole = failed = False
+            read_all = failed = False
             if self.min_interval_s:
                 await asyncio.sleep(self.min_interval_s)
             await self._wait_for_poll()
@@ -166,7 +166,9 @@
         """Wait for the next poll of a table that others read."""
         if self.is_reader:
             return
-        pause_s = NON_READER_POLL_S * (1 - POLL_JITTER * self._chance.random())
+        pause_s = NON_READER_POLL_INTERVAL_S * (
+            1 - POLL_JITTER_RATIO * self._chance.random()
+        )
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(pause_s):
                 await self._wake.wait()
@@ -192,7 +194,7 @@
         if changed_rows:
             self._changed(changed_rows, peer)
 
-    async def _read(self) -> Err | None:
+    async def _read_all(self) -> Err | None:
         answer = await read_all_rows(self._store, self.copy.table)
         if isinstance(answer, Err):
             return answer
@@ -204,7 +206,7 @@
             self._changed(changed_rows, "store")
         return None
 
-    async def _watch(self, wait_s: float) -> Err | None:
+    async def _poll(self, wait_s: float) -> Err | None:
         since = self.copy.read_version
         answer = await self._store.changes(self.copy.table, since, wait_s)
         if isinstance(answer, Err):
--- a/tests/gateway/test_table_readers.py
+++ b/tests/gateway/test_table_readers.py
@@ -181,7 +181,7 @@
     )
     watcher._store = PagedStore(pages)
     for _ in pages:
-        await watcher._watch(0.0)
+        await watcher._poll(0.0)
     return published
 
 
@@ -311,7 +311,7 @@
             if chance.random() < 0.3:
                 chance.choice(watchers).copy.apply_row(row)
         if chance.random() < 0.5 and len(calls) < 3:
-            calls.add(asyncio.ensure_future(chance.choice(watchers[:2])._watch(1.0)))
+            calls.add(asyncio.ensure_future(chance.choice(watchers[:2])._poll(1.0)))
         if chance.random() < 0.05:
             whole = list(store.rows_by_key.values())
             chance.choice(watchers).apply_snapshot_from_peer(
