--- a/tests/gateway/test_many_peers.py
+++ b/tests/gateway/test_many_peers.py
@@ -86,7 +86,7 @@
     await world.ready()
     sender.fleet.occupancy.add("i-0", online=2)
     sender.fleet.notify_changed()
-    sender.news.send_heartbeat = lambda: None
+    sender.updates.send_heartbeat = lambda: None
     receiver = await world.add_instance(zone="b")
     own = sender.settings.instance
     await until(lambda: receiver.fleet.occupancy.count_of(own, "i-0").online == 2)
@@ -99,7 +99,7 @@
     sender = await world.add_instance(zone="a")
     receiver = await world.add_instance(zone="b")
     await world.ready()
-    sender.news.send_heartbeat = lambda: None
+    sender.updates.send_heartbeat = lambda: None
     sender.fleet.occupancy.add("i-0", online=2)
     sender.fleet.occupancy.take_changed()
     for stream in list(receiver.mesh._streams):
@@ -137,8 +137,8 @@
     far = await world.add_instance(zone="b")
     await world.ready()
     own = leaving.settings.instance
-    leaving.news.leaving = True
-    leaving.news.send_heartbeat()
+    leaving.updates.leaving = True
+    leaving.updates.send_heartbeat()
     await until(lambda: far.mesh.members_by_id[own].leaving, HEARTBEAT_INTERVAL_S)
 
 
@@ -189,4 +189,4 @@
 
 
 def _ended(runner, items: list[str]) -> bool:
-    return set(items) <= {run.id for run in runner.runs if run.ended}
+    return set(items) <= {run.id for run in runner.runs if run.finished}
--- a/tests/gateway/test_silent_connections.py
+++ b/tests/gateway/test_silent_connections.py
@@ -131,12 +131,12 @@
     instance = await world.add_instance()
     await world.ready()
     recoveries: list[float] = []
-    instance.reach.on_recovered(recoveries.append)
+    instance.reachability.on_recovered(recoveries.append)
     store_relay.silence()
     # Every call from before the silence has timed out by then.
     await asyncio.sleep(LONG_POLL_S + WATCH_SLACK_S + INDEX_READ_INTERVAL_S + SLACK_S)
     assert len(recoveries) <= 1
-    assert instance.reach.reached
+    assert instance.reachability.reached
     version = 2
     world.configure(version, ROUTES)
     await until(lambda: instance.configuration.table.version == version, SLACK_S)
@@ -166,11 +166,11 @@
     instance = await world.add_instance()
     await world.ready()
     recoveries: list[float] = []
-    instance.reach.on_recovered(recoveries.append)
+    instance.reachability.on_recovered(recoveries.append)
     polls = len(world.store.waits_ms)
     store_relay.reset()
     await until(lambda: recoveries)
-    assert instance.reach.reached
+    assert instance.reachability.reached
     # The long poll that detected it asked for an answer at once, after a short pause;
     # real time would also include other load of the machine.
     assert world.store.waits_ms[polls] == 0
