--- a/src/caperridge/gateway/edge.py
+++ b/src/caperridge/gateway/edge.py
@@ -217,11 +217,13 @@
             failure = await self._forwarder.forward(inbound, reply)
         except asyncio.CancelledError:
             self._metrics.requests.labels(route.kind, "left").inc()
-            log.info("caller left", request=id, route=route.name)
+            log.info("caller disconnected", request=id, route=route.name)
             raise
         except (ConnectionError, OSError) as error:
             self._metrics.requests.labels(route.kind, "left").inc()
-            log.info("caller left", request=id, route=route.name, reason=str(error))
+            log.info(
+                "caller disconnected", request=id, route=route.name, reason=str(error)
+            )
             reply.abort()
             return reply.response or web.Response(status=499)
         loop = asyncio.get_running_loop()
--- a/src/caperridge/gateway/fleet.py
+++ b/src/caperridge/gateway/fleet.py
@@ -75,14 +75,14 @@
             lengths = self.run_lengths_by_service[service] = RunStatistics()
         return lengths
 
-    def on_change(self, call: Callable[[], None]) -> None:
-        """Register ``call`` to be called when counts or targets have changed."""
-        self._change_callbacks.append(call)
+    def on_change(self, callback: Callable[[], None]) -> None:
+        """Register ``callback`` to be called when counts or targets have changed."""
+        self._change_callbacks.append(callback)
 
     def notify_changed(self) -> None:
         """Call what was registered with :meth:`on_change`."""
-        for call in self._change_callbacks:
-            call()
+        for callback in self._change_callbacks:
+            callback()
 
     def usable(
         self, service: str, now: float, excluded: frozenset[str] = frozenset()
@@ -143,12 +143,12 @@
             health = self._health_by_target[target.id] = Health()
         if not health.record_failure(error):
             return
-        out_s = min(health.eject(now), MAX_EJECTION_S)
-        health.out_until = now + out_s
+        ejection_s = min(health.eject(now), MAX_EJECTION_S)
+        health.out_until = now + ejection_s
         if isinstance(error, NotSent):
             self.unreachable[target.id] = target.address
         log.warning(
-            "target ejected", target=target.id, out_s=out_s, reason=error.reason
+            "target ejected", target=target.id, out_s=ejection_s, reason=error.reason
         )
 
     def mark_crashed(self, target: Target) -> None:
@@ -163,7 +163,7 @@
         """Record that an unreachable target accepts connections again."""
         was_unreachable = self.unreachable.pop(target, None) is not None
         if self._health_by_target.pop(target, None) is not None or was_unreachable:
-            log.info("target is back", target=target)
+            log.info("target reachable again", target=target)
             self.notify_changed()
 
     def discard_removed(self) -> None:
--- a/tests/gateway/runner_standin.py
+++ b/tests/gateway/runner_standin.py
@@ -124,14 +124,14 @@
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         body = await request.read()
         id = request.headers["X-Request-Id"]
-        marks = {"X-Request-Id": id, "X-Instance-Id": self.id}
+        headers = {"X-Request-Id": id, "X-Instance-Id": self.id}
         if request.headers.get("X-Expect-Instance", self.id) != self.id:
             self.misdirected += 1
-            return web.Response(status=421, headers=marks)
+            return web.Response(status=421, headers=headers)
         if self.refuse:
             self.refused += 1
-            marks["X-Not-Executed"] = "1"
-            return web.Response(status=503, headers=marks)
+            headers["X-Not-Executed"] = "1"
+            return web.Response(status=503, headers=headers)
         run = Run(request, body)
         self.runs.append(run)
         self.busy += 1
@@ -140,7 +140,7 @@
         self._transports.add(request.transport)
         transport = request.transport
         try:
-            return await self._run(request, run, marks)
+            return await self._run(request, run, headers)
         except asyncio.CancelledError:
             run.cut = True
             raise
@@ -149,7 +149,7 @@
             self._transports.discard(transport)
 
     async def _run(
-        self, request: web.Request, run: Run, marks: dict[str, str]
+        self, request: web.Request, run: Run, headers: dict[str, str]
     ) -> web.StreamResponse:
         assert request.transport is not None
         if self.lose:
@@ -158,13 +158,13 @@
         while self.hold_head:
             await asyncio.sleep(0.01)
         if self.wrong_id:
-            marks["X-Request-Id"] = "another"
-        marks["X-Response-Stamp"] = f"stamp-{self.id}-{run.id}"
+            headers["X-Request-Id"] = "another"
+        headers["X-Response-Stamp"] = f"stamp-{self.id}-{run.id}"
         if self.status != 200:
             run.finished = True
-            return web.Response(status=self.status, headers=marks, text="failed")
-        marks["Content-Type"] = "text/event-stream"
-        response = web.StreamResponse(headers=marks)
+            return web.Response(status=self.status, headers=headers, text="failed")
+        headers["Content-Type"] = "text/event-stream"
+        response = web.StreamResponse(headers=headers)
         if self.unframed:
             response.force_close()
             response.headers["Connection"] = "close"
--- a/tests/gateway/test_signals.py
+++ b/tests/gateway/test_signals.py
@@ -106,8 +106,8 @@
     process.send(signal.SIGHUP)
     await process.logged("settings reloaded")
     process.send(signal.SIGTERM)
-    door = await process.logged("listener closes")
-    assert door["patience_left_s"] < 3.0
+    line = await process.logged("listener closes")
+    assert line["patience_left_s"] < 3.0
     assert await process.ended() == 0
 
 
