--- a/src/caperridge/gateway/fields.py
+++ b/src/caperridge/gateway/fields.py
@@ -33,9 +33,9 @@
         try:
             fields = orjson.loads(value)
         except ValueError as error:
-            raise DecodeError(f"{source}: invalid JSON: {error}") from error
+            raise DecodeError(f"{source}: no JSON: {error}") from error
         if not isinstance(fields, dict):
-            raise DecodeError(str(Finding(source, WHOLE, "must be a JSON object")))
+            raise DecodeError(str(Finding(source, WHOLE, "is no map")))
         self._by_name: dict[str, Any] = fields
 
     def __contains__(self, name: str) -> bool:
