--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the streams between instances and the view of who lives."""
+"""Tests of the streams between instances and of the membership view."""
--- a/tests/peers/conftest.py
+++ b/tests/peers/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: several instances in one process, on one platform in memory."""
+"""Fixtures for several instances in one process that share a platform in memory."""
 
 from collections.abc import AsyncIterator
 
@@ -15,7 +15,7 @@
 
 
 class Mesh:
-    """Starts instances and lists them at the platform."""
+    """Starts instances and adds them to the member list of the platform."""
 
     def __init__(self, memory: MemoryPlatform) -> None:
         self.memory = memory
@@ -44,7 +44,7 @@
             tls_by_listener={"peers": tls} if tls else None,
         )
         instance = Instance(settings, platform or self.memory)
-        self.created(instance)
+        self.before_start(instance)
         await instance.start()
         self.instances_by_id[name] = instance
         if listed:
@@ -52,8 +52,8 @@
             self.list_member(ListedMember(name, "instance", address, zone))
         return instance
 
-    def created(self, instance: Instance) -> None:
-        """Change what a test has to change before an instance starts."""
+    def before_start(self, instance: Instance) -> None:
+        """Modify ``instance`` before it starts; does nothing by default."""
 
     def list_member(self, member: ListedMember) -> None:
         self.members_by_id[member.id] = member
--- a/tests/peers/cuts.py
+++ b/tests/peers/cuts.py
@@ -1,4 +1,4 @@
-"""Zones of instances over real sockets, which can be cut off, and their callers."""
+"""Zones of instances over real sockets, with simulated partitions, and a client."""
 
 import asyncio
 from typing import Any
@@ -25,7 +25,7 @@
 
 
 class CutPlatform(MemoryPlatform):
-    """The way of one or more instances to a shared platform; may be cut."""
+    """Connection of one or more instances to a shared platform; may be cut."""
 
     def __init__(self, shared: MemoryPlatform) -> None:
         super().__init__(lambda: 0.0)
@@ -44,20 +44,20 @@
 
 
 class Zones(Mesh):
-    """Instances of several zones, each zone with an engine and a way to the platform.
+    """Instances of several zones; each zone has an engine and a platform connection.
 
-    A cut between zones ends the streams that lead across and refuses new ones.
+    A cut between two zones closes the streams between them and refuses new ones.
     """
 
     http: aiohttp.ClientSession
 
     def __init__(self, memory: MemoryPlatform, listen: Listen) -> None:
         super().__init__(memory)
-        self.ways_by_zone: dict[str, CutPlatform] = {}
+        self.platforms_by_zone: dict[str, CutPlatform] = {}
         self.engines_by_zone: dict[str, Engine] = {}
         self.versions_by_process: dict[Instance, list[int]] = {}
         self._listen = listen
-        self._asked = 0
+        self._request_count = 0
         self._cut: set[frozenset[str]] = set()
         self._zones_by_address: dict[str, str] = {}
 
@@ -67,19 +67,19 @@
         address = await self._listen(engine_standin.make_app(engine))
         name = f"runner-{zone}"
         self.list_member(ListedMember(name, "target", address, zone, service="chat"))
-        self.ways_by_zone[zone] = CutPlatform(self.memory)
+        self.platforms_by_zone[zone] = CutPlatform(self.memory)
         for number in range(instances):
             await self.start_in(zone, f"{zone}-{number}")
 
     async def start_in(self, zone: str, name: str, **options: Any) -> Instance:
-        way = self.ways_by_zone[zone]
-        options = {"platform": way, "lease_s": LEASE_S} | options
+        platform = self.platforms_by_zone[zone]
+        options = {"platform": platform, "lease_s": LEASE_S} | options
         instance = await self.start(name, zone, **options)
         address = str(instance.addresses_by_listener["peers"])
         self._zones_by_address[address] = zone
         return instance
 
-    def created(self, instance: Instance) -> None:
+    def before_start(self, instance: Instance) -> None:
         connector = instance.mesh._connector
         dial = connector.dial
         zone = instance.settings.availability_zone
@@ -98,32 +98,32 @@
         self._cut.add(frozenset((zone, other)))
         for instance in self.instances_by_id.values():
             for stream in instance.mesh._streams:
-                far = stream.hello.availability_zone
-                if self._is_cut(instance.settings.availability_zone, far):
+                remote_zone = stream.hello.availability_zone
+                if self._is_cut(instance.settings.availability_zone, remote_zone):
                     stream.close()
 
-    def reunite(self) -> None:
+    def heal(self) -> None:
         self._cut.clear()
-        for way in self.ways_by_zone.values():
-            way.cut = False
+        for platform in self.platforms_by_zone.values():
+            platform.cut = False
 
     def of(self, zone: str) -> list[Instance]:
         instances = self.instances_by_id.values()
         return [i for i in instances if i.settings.availability_zone == zone]
 
-    def note_versions(self) -> None:
+    def record_versions(self) -> None:
         for instance in self.instances_by_id.values():
             version = instance.configuration.current.version
             self.versions_by_process.setdefault(instance, []).append(version)
 
-    async def until(self, holds: Any, seconds: float = 20.0) -> None:
-        """Wait as :func:`conftest.until`, and note every version that is in force."""
+    async def until(self, condition: Any, seconds: float = 20.0) -> None:
+        """Wait as :func:`conftest.until` does, and record the versions in force."""
 
-        def noted() -> Any:
-            self.note_versions()
-            return holds()
+        def checked() -> Any:
+            self.record_versions()
+            return condition()
 
-        await until(noted, seconds)
+        await until(checked, seconds)
 
     async def until_version(self, version: int, instances: list[Instance]) -> None:
         await self.until(
@@ -148,9 +148,9 @@
         return response.status, orjson.loads(data)
 
     async def ask(self, instance: Instance) -> int:
-        """Return the status of an online request; an answer must be its own, whole."""
-        self._asked += 1
-        prompt = f"alarm {self._asked}?"
+        """Send an online request, check its whole answer; return the status."""
+        self._request_count += 1
+        prompt = f"alarm {self._request_count}?"
         body = {"model": "chat", "prompt": prompt, "max_tokens": 3}
         status, answer = await self.call(instance, "/v1/completions", body)
         if status == 200:
@@ -166,7 +166,7 @@
     async def submit(
         self, instance: Instance, items: int, tokens: int = 3
     ) -> tuple[int, Any]:
-        """Upload a file of items and make a job of it; return the last answer."""
+        """Upload a file of items and create a job from it; return the last answer."""
         lines: list[bytes] = []
         for number in range(items):
             body = {"model": "chat", "prompt": f"log {number}", "max_tokens": tokens}
@@ -185,11 +185,11 @@
         return await self.call(instance, "/v1/batches", job)
 
     async def results(self, instance: Instance, job: Any) -> list[str]:
-        """Wait until ``job`` is complete; return the ids of its results in order."""
+        """Wait until ``job`` completes; return the ids of its results in file order."""
         async with asyncio.timeout(30):
             while job["status"] != "completed":
                 await asyncio.sleep(0.05)
-                self.note_versions()
+                self.record_versions()
                 _, job = await self.call(instance, f"/v1/batches/{job['id']}")
         path = f"/v1/files/{job['output_file_id']}/content"
         _, results = await self.call(instance, path)
--- a/tests/peers/test_compact.py
+++ b/tests/peers/test_compact.py
@@ -1,4 +1,4 @@
-"""The short form of frequent messages: tables of what is sent and what is refused."""
+"""Compact encoding of frequent messages: round trips and rejected input."""
 
 import asyncio
 from typing import Any
@@ -22,7 +22,7 @@
 )
 from caperridge.peers.stream import PeerStream
 from caperridge.records import Record, pack, unpack
-from peers.test_frames import Transport
+from peers.test_frames import FakeWriter
 
 MESSAGES = [
     Heartbeat("", 0, 7, 3, True, [["e-2", 9, "suspect", 4]]),
@@ -36,46 +36,48 @@
 ]
 
 
-def sent(codec: Codec, message: Record) -> bytes:
+def encoded_body(codec: Codec, message: Record) -> bytes:
     return codec.encode(message)[4:]
 
 
 @pytest.mark.parametrize("protocol", [1, COMPACT_PROTOCOL, COMPACT_PROTOCOL + 1])
 def test_what_is_sent_comes_out_again_at_an_old_release_too(protocol: int) -> None:
-    ours, theirs = Codec("e-1", protocol), Codec("e-2", COMPACT_PROTOCOL)
+    sender, receiver = Codec("e-1", protocol), Codec("e-2", COMPACT_PROTOCOL)
     for message in MESSAGES * 2:
-        assert theirs.decode(sent(ours, message)) == message
+        assert receiver.decode(encoded_body(sender, message)) == message
 
 
 def test_an_old_release_gets_maps_only() -> None:
     codec = Codec("e-1", COMPACT_PROTOCOL - 1)
-    assert all(isinstance(unpack(sent(codec, m)), dict) for m in MESSAGES)
+    assert all(isinstance(unpack(encoded_body(codec, m)), dict) for m in MESSAGES)
 
 
 def test_a_name_is_sent_once_and_an_own_message_names_no_sender() -> None:
     codec = Codec("e-1", COMPACT_PROTOCOL)
     news = LatencyNews("e-1", "r-1", 0.25)
-    assert unpack(sent(codec, news))[1:] == ["r-1", 0.25]
-    assert unpack(sent(codec, news))[1:] == [0, 0.25]
+    assert unpack(encoded_body(codec, news))[1:] == ["r-1", 0.25]
+    assert unpack(encoded_body(codec, news))[1:] == [0, 0.25]
 
 
 def test_of_sequences_the_step_is_sent() -> None:
     codec = Codec("e-1", COMPACT_PROTOCOL)
     for first in (2_000_000_000_000, 2_000_000_000_003):
-        parts = unpack(sent(codec, OnlineCounts([["r-1", 1, first], ["r-2", 1, 1]])))
+        parts = unpack(
+            encoded_body(codec, OnlineCounts([["r-1", 1, first], ["r-2", 1, 1]]))
+        )
     assert parts[1] == [[0, 1, 3], [1, 1, 1]]
 
 
 def test_both_ends_stop_numbering_at_the_same_name() -> None:
-    out, back = NameEncoder(), NameDecoder()
+    encoder, decoder = NameEncoder(), NameDecoder()
     names = [f"r-{n}" for n in range(MAX_NAMES + 2)]
     for name in names * 2:
-        assert back.convert_name(out.convert_name(name)) == name
-    assert out.convert_name(names[MAX_NAMES - 1]) == MAX_NAMES - 1
-    assert out.convert_name(names[MAX_NAMES]) == names[MAX_NAMES]
+        assert decoder.convert_name(encoder.convert_name(name)) == name
+    assert encoder.convert_name(names[MAX_NAMES - 1]) == MAX_NAMES - 1
+    assert encoder.convert_name(names[MAX_NAMES]) == names[MAX_NAMES]
     for number in (MAX_NAMES, -1):
         with pytest.raises(ValueError, match="not the number of a name"):
-            back.convert_name(number)
+            decoder.convert_name(number)
 
 
 @pytest.mark.parametrize(
@@ -95,7 +97,7 @@
     assert Codec("e-1", COMPACT_PROTOCOL).decode(pack(parts)) == expected
 
 
-WRONG_NAMES = [
+INVALID_MESSAGES = [
     [3, 0],
     [3, -1],
     [3, None],
@@ -111,7 +113,7 @@
 ]
 
 
-@pytest.mark.parametrize("parts", WRONG_NAMES)
+@pytest.mark.parametrize("parts", INVALID_MESSAGES)
 def test_a_stream_whose_names_are_out_of_step_is_closed(parts: list[Any]) -> None:
     with pytest.raises(NamesError):
         Codec("e-1", COMPACT_PROTOCOL).decode(pack(parts))
@@ -121,12 +123,16 @@
     None
 ):
     hello = Hello("e-1", "oviedo", 1, protocol=COMPACT_PROTOCOL)
-    heard: list[Record] = []
+    received: list[Record] = []
     stream = PeerStream(
-        asyncio.StreamReader(), Transport(), hello, True, lambda _, m: heard.append(m)
+        asyncio.StreamReader(),
+        FakeWriter(),
+        hello,
+        True,
+        lambda _, m: received.append(m),
     )
     stream._handle_body(pack({"is": "JobNews"}))
     assert not stream.closed
     stream._handle_body(pack([3, 0]))
     assert stream.closed
-    assert heard == []
+    assert received == []
--- a/tests/peers/test_cuts.py
+++ b/tests/peers/test_cuts.py
@@ -1,4 +1,4 @@
-"""Zones that are cut off, over real sockets: what goes on, what is refused, reunion.
+"""Network partitions over real sockets: what works, what is refused, recovery.
 
 The cells of the table in ``docs/operators/cut-off.md`` name these tests.
 """
@@ -14,7 +14,7 @@
 from conftest import DECLARATION, Listen
 from peers.cuts import Zones
 
-# A service without targets would be awaited by an instance that starts.
+# A starting instance would wait for targets of a service that has none.
 ONE = re.sub(r"\[services\.(billing|lookup)\]\n(\w.*\n)+", "", DECLARATION)
 TWO = ONE + "[services.other]\nkind = 'plain'\n"
 ITEMS = 40
@@ -23,16 +23,16 @@
 
 @pytest.fixture
 async def zones(memory: MemoryPlatform, listen: Listen) -> AsyncIterator[Zones]:
-    """Two zones of two instances that know each other and one configuration."""
+    """Two zones of two instances, all connected and with one configuration."""
     zones = Zones(memory, listen)
     await zones.start_zone("oviedo", 2)
     await zones.start_zone("bilbao", 2)
-    everybody = list(zones.instances_by_id.values())
+    instances = list(zones.instances_by_id.values())
     async with aiohttp.ClientSession() as zones.http:
-        await zones.until(lambda: not any(i.not_ready_because() for i in everybody))
-        await zones.until(lambda: all(len(i.peers.connected()) == 3 for i in everybody))
-        assert (await zones.confirm(everybody[0], ONE))[0] == 200
-        await zones.until_version(1, everybody)
+        await zones.until(lambda: not any(i.not_ready_because() for i in instances))
+        await zones.until(lambda: all(len(i.peers.connected()) == 3 for i in instances))
+        assert (await zones.confirm(instances[0], ONE))[0] == 200
+        await zones.until_version(1, instances)
         yield zones
         for name in list(zones.instances_by_id):
             await zones.stop(name)
@@ -41,7 +41,7 @@
 
 
 def sees_all(zones: Zones) -> bool:
-    """Return whether every instance counts every other one as live."""
+    """Return whether every instance considers every other one live."""
     names = sorted(zones.instances_by_id)
     for instance in zones.instances_by_id.values():
         live = instance.membership.live_by_zone().values()
@@ -62,11 +62,11 @@
         assert await zones.ask(instance) == 200
     status, job = await zones.submit(oviedo[0], ITEMS)
     assert status == 200
-    # The platform is reached by both, so a version needs no peer to spread.
+    # Both zones reach the platform, so a version spreads without peers.
     assert (await zones.confirm(bilbao[0], TWO))[0] == 200
     await zones.until_version(2, oviedo + bilbao)
     assert await zones.results(bilbao[1], job) == IN_ORDER
-    zones.reunite()
+    zones.heal()
     await zones.until(lambda: sees_all(zones))
 
 
@@ -74,7 +74,7 @@
     zones: Zones,
 ) -> None:
     oviedo, bilbao = zones.of("oviedo"), zones.of("bilbao")
-    zones.ways_by_zone["bilbao"].cut = True
+    zones.platforms_by_zone["bilbao"].cut = True
     status, job = await zones.submit(bilbao[0], ITEMS)
     assert status == 200, job
     assert bilbao[0].state()["platform_cut_off"]
@@ -89,17 +89,17 @@
         assert await zones.ask(instance) == 200
         assert instance.session.left_s() > 0
         assert instance.state()["platform_relayed"] > 0
-    zones.reunite()
+    zones.heal()
     await zones.until(lambda: not any(i.platform.cut_off for i in bilbao))
 
 
-def refused(answer: tuple[int, Any]) -> tuple[int, str, str]:
-    """Return what a refusal says that must be true."""
+def refusal_fields(answer: tuple[int, Any]) -> tuple[int, str, str]:
+    """Return status, code and run state of a refusal."""
     status, body = answer
     return status, body["error"]["code"], body["error"]["run"]
 
 
-AWAY = (503, "platform_away", "not_run")
+PLATFORM_AWAY = (503, "platform_away", "not_run")
 
 
 async def test_a_zone_cut_from_all_serves_online_and_refuses_the_rest(
@@ -110,30 +110,33 @@
     assert status == 200
     await zones.until(lambda: any(i.streams.state()["running"] for i in bilbao))
     zones.cut("oviedo", "bilbao")
-    zones.ways_by_zone["bilbao"].cut = True
+    zones.platforms_by_zone["bilbao"].cut = True
     for instance in bilbao:
         assert await zones.ask(instance) == 200
-    assert refused(await zones.submit(bilbao[0], 1)) == AWAY
+    assert refusal_fields(await zones.submit(bilbao[0], 1)) == PLATFORM_AWAY
     path = f"/v1/batches/{job['id']}"
-    assert refused(await zones.call(bilbao[0], path)) == AWAY
-    assert refused(await zones.call(bilbao[0], f"{path}/cancel", {})) == AWAY
+    assert refusal_fields(await zones.call(bilbao[0], path)) == PLATFORM_AWAY
+    assert (
+        refusal_fields(await zones.call(bilbao[0], f"{path}/cancel", {}))
+        == PLATFORM_AWAY
+    )
     confirmed = await zones.confirm(bilbao[0], TWO)
-    assert refused(confirmed) == AWAY
+    assert refusal_fields(confirmed) == PLATFORM_AWAY
     assert "nothing was changed" in confirmed[1]["error"]["message"]
-    # What is confirmed elsewhere comes into force here at reunion, not before.
+    # A version confirmed elsewhere comes into force here only after recovery.
     assert (await zones.confirm(oviedo[0], TWO))[0] == 200
     await zones.until_version(2, oviedo)
-    # Batch ends with the lease; the other zone does the work.
+    # Batch work stops with the lease; the other zone takes it over.
     await zones.until(lambda: not any(i.session.left_s() > 0 for i in bilbao))
     await zones.until(lambda: not any(i.streams.state()["running"] for i in bilbao))
     assert await zones.results(oviedo[0], job) == IN_ORDER
-    # One that is started again knows nothing but its seeds.
+    # A restarted instance knows only its seeds.
     await zones.stop("bilbao-1")
     seeds = [bilbao[0].addresses_by_listener["peers"]]
-    fresh = await zones.start_in("bilbao", "bilbao-1", seeds=seeds)
-    await zones.until(lambda: not fresh.not_ready_because())
-    assert fresh.configuration.current.version == 1
-    assert await zones.ask(fresh) == 200
-    zones.reunite()
-    await zones.until_version(2, [bilbao[0], fresh, *oviedo])
+    restarted = await zones.start_in("bilbao", "bilbao-1", seeds=seeds)
+    await zones.until(lambda: not restarted.not_ready_because())
+    assert restarted.configuration.current.version == 1
+    assert await zones.ask(restarted) == 200
+    zones.heal()
+    await zones.until_version(2, [bilbao[0], restarted, *oviedo])
     await zones.until(lambda: sees_all(zones))
--- a/tests/peers/test_frames.py
+++ b/tests/peers/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames and the handshake: round trips, other releases and faults in tables."""
+"""Frames, handshake and send queue: round trips, other releases, invalid input."""
 
 import asyncio
 import struct
@@ -81,32 +81,30 @@
 
 
 async def test_a_message_does_not_name_its_sender_who_said_hello() -> None:
-    heard: list[Record] = []
+    received: list[Record] = []
     stream = PeerStream(
         asyncio.StreamReader(),
-        Transport(),
+        FakeWriter(),
         hello("e-1"),
         True,
-        lambda _, message: heard.append(message),
+        lambda _, message: received.append(message),
     )
     own = messages.LatencyNews("e-1", "r-1", 0.2, 0.0)
-    of_another = messages.LatencyNews("e-2", "r-1", 0.2, 0.0)
-    for message in (own, of_another):
+    of_other = messages.LatencyNews("e-2", "r-1", 0.2, 0.0)
+    for message in (own, of_other):
         stream._handle_body(encode(message, "e-1")[4:])
-    assert heard == [own, of_another]
+    assert received == [own, of_other]
     assert "instance" not in unpack(encode(own, "e-1")[4:])
 
 
 def test_online_news_is_gathered_by_sender_and_scattered_again() -> None:
     own = [messages.OnlineNews("e-1", f"r-{n}", n, 1000 + n) for n in range(3)]
-    passed_on = messages.OnlineNews("e-2", "r-9", 4, 7)
+    forwarded = messages.OnlineNews("e-2", "r-9", 4, 7)
     other = messages.JobNews("j", "open")
-    gathered = batch_online_counts([own[0], other, passed_on, *own[1:]], "e-1")
-    assert gathered[1] == other
-    scattered = [
-        n for m in (gathered[0], gathered[2]) for n in split_online_counts(m, "e-1")
-    ]
-    assert scattered == [*own, passed_on]
+    batched = batch_online_counts([own[0], other, forwarded, *own[1:]], "e-1")
+    assert batched[1] == other
+    split = [n for m in (batched[0], batched[2]) for n in split_online_counts(m, "e-1")]
+    assert split == [*own, forwarded]
 
 
 @pytest.mark.parametrize("counts", [[["r-1", 2]], [["r-1", 2, "x"]], [7], 7])
@@ -170,49 +168,55 @@
 
 
 class Pipe:
-    """A writer whose bytes the other end reads; records what passed."""
+    """Writer whose bytes the reader at the other end gets; records what is written."""
 
     def __init__(self) -> None:
         self.reader = asyncio.StreamReader()
-        self.passed: list[bytes] = []
+        self.written: list[bytes] = []
 
     def write(self, data: bytes) -> None:
-        self.passed.append(data)
+        self.written.append(data)
         self.reader.feed_data(data)
 
     async def drain(self) -> None:
-        """Nothing to wait for."""
+        """Do nothing; all bytes are delivered at once."""
 
 
 def hello(instance: str, **changes: Any) -> messages.Hello:
     return messages.Hello(instance, "oviedo", 1, **changes)
 
 
-async def shake(
+async def run_handshake(
     dialer: messages.Hello,
     listener: messages.Hello,
     dialer_secret: str = "s",
     listener_secret: str = "s",
 ) -> tuple[Any, Any, Pipe]:
-    there, back = Pipe(), Pipe()
+    to_listener, to_dialer = Pipe(), Pipe()
     async with asyncio.timeout(5):
-        called = asyncio.ensure_future(
-            handshake.listen(there.reader, back, lambda _: listener, listener_secret)
+        listening = asyncio.ensure_future(
+            handshake.listen(
+                to_listener.reader, to_dialer, lambda _: listener, listener_secret
+            )
         )
-        called.add_done_callback(lambda _: back.reader.feed_eof())
+        listening.add_done_callback(lambda _: to_dialer.reader.feed_eof())
         try:
-            said = await handshake.dial(back.reader, there, dialer, dialer_secret)
+            dialer_result = await handshake.dial(
+                to_dialer.reader, to_listener, dialer, dialer_secret
+            )
         except (handshake.HandshakeError, EOFError) as error:
-            said = error
-        there.reader.feed_eof()
-        answer = (await asyncio.gather(called, return_exceptions=True))[0]
-    return said, answer, there
+            dialer_result = error
+        to_listener.reader.feed_eof()
+        listener_result = (await asyncio.gather(listening, return_exceptions=True))[0]
+    return dialer_result, listener_result, to_listener
 
 
 async def test_both_ends_learn_who_the_other_is() -> None:
-    said, called, _ = await shake(hello("a", port=1), hello("b", port=2))
-    assert (said.instance, said.port) == ("b", 2)
-    assert (called.instance, called.port) == ("a", 1)
+    dialer_result, listener_result, _ = await run_handshake(
+        hello("a", port=1), hello("b", port=2)
+    )
+    assert (dialer_result.instance, dialer_result.port) == ("b", 2)
+    assert (listener_result.instance, listener_result.port) == ("a", 1)
 
 
 @pytest.mark.parametrize(
@@ -228,29 +232,33 @@
 async def test_an_unproven_or_impossible_peer_is_refused(
     dialer: messages.Hello, listener: messages.Hello, secrets: tuple[str, str]
 ) -> None:
-    said, called, _ = await shake(dialer, listener, *secrets)
-    assert isinstance(said, Exception) or isinstance(called, Exception)
-    assert isinstance(called, handshake.HandshakeError | EOFError)
+    dialer_result, listener_result, _ = await run_handshake(dialer, listener, *secrets)
+    assert isinstance(dialer_result, Exception) or isinstance(
+        listener_result, Exception
+    )
+    assert isinstance(listener_result, handshake.HandshakeError | EOFError)
 
 
 async def test_a_recorded_handshake_is_of_no_use() -> None:
-    _, _, recorded = await shake(hello("a"), hello("b"))
-    there, back = Pipe(), Pipe()
-    for data in recorded.passed:
-        there.write(data)
+    _, _, recorded = await run_handshake(hello("a"), hello("b"))
+    to_listener, to_dialer = Pipe(), Pipe()
+    for data in recorded.written:
+        to_listener.write(data)
     with pytest.raises(handshake.HandshakeError, match="proof"):
-        await handshake.listen(there.reader, back, lambda _: hello("b"), "s")
+        await handshake.listen(to_listener.reader, to_dialer, lambda _: hello("b"), "s")
 
 
 async def test_a_reflected_proof_is_of_no_use() -> None:
-    """A listener that mirrors the dialer's own hello proves nothing."""
-    there, back = Pipe(), Pipe()
-    dialing = asyncio.ensure_future(handshake.dial(back.reader, there, hello("a"), "s"))
+    """A proof made for the dialer's role does not authenticate a listener."""
+    to_listener, to_dialer = Pipe(), Pipe()
+    dialing = asyncio.ensure_future(
+        handshake.dial(to_dialer.reader, to_listener, hello("a"), "s")
+    )
     await asyncio.sleep(0)
-    first = decode(there.passed[0][4:])
+    first = decode(to_listener.written[0][4:])
     own = handshake.with_new_nonce(hello("b"))
     proof = handshake.compute_proof("s", handshake.DIALER, own, first)
-    back.write(encode(own.replace(proof=proof)))
+    to_dialer.write(encode(own.replace(proof=proof)))
     with pytest.raises(handshake.HandshakeError, match="proof"):
         await dialing
 
@@ -277,11 +285,11 @@
     ],
 )
 async def test_what_is_no_hello_is_refused(data: bytes) -> None:
-    there = Pipe()
-    there.write(data)
-    there.reader.feed_eof()
+    to_listener = Pipe()
+    to_listener.write(data)
+    to_listener.reader.feed_eof()
     with pytest.raises((handshake.HandshakeError, EOFError)):
-        await handshake.listen(there.reader, Pipe(), lambda _: hello("b"), "s")
+        await handshake.listen(to_listener.reader, Pipe(), lambda _: hello("b"), "s")
 
 
 def test_newer_news_takes_the_place_of_older_and_room_is_bounded() -> None:
@@ -299,8 +307,8 @@
     assert outbox.drain() == []
 
 
-class Transport:
-    """As much of a writer as an idle stream needs."""
+class FakeWriter:
+    """Minimal writer for an idle stream."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -313,7 +321,7 @@
 
 
 async def test_a_silent_stream_is_closed_and_a_talking_one_is_not() -> None:
-    writer = Transport()
+    writer = FakeWriter()
     stream = PeerStream(asyncio.StreamReader(), writer, hello("a"), True, print)
     stream.close_if_silent(100.0)
     stream.close_if_silent(100.0 + SILENCE_TIMEOUT_S - 1)
--- a/tests/peers/test_news.py
+++ b/tests/peers/test_news.py
@@ -1,4 +1,4 @@
-"""The shared list and the news of online load, without sockets."""
+"""The shared member list, updates from peers and the stream registry; no sockets."""
 
 import asyncio
 from typing import Any
@@ -32,7 +32,7 @@
 
 
 class Recorder(NoPeers):
-    """Keeps what was sent and to whom; everybody is reached."""
+    """Records sent messages and their receivers; every send succeeds."""
 
     def __init__(self, *connected: str) -> None:
         self.ids = list(connected)
@@ -51,8 +51,8 @@
         return self.ids
 
 
-class Slow(MemoryPlatform):
-    """Answers with a list of the test's, after ``before`` ran; may be away."""
+class ScriptedPlatform(MemoryPlatform):
+    """Returns the list that the test sets, after ``before`` ran; None: unreachable."""
 
     def __init__(self) -> None:
         super().__init__(lambda: 0.0)
@@ -66,10 +66,10 @@
 
 
 class Reader:
-    """A reader whose turns the test gives."""
+    """A member list reader whose iterations the test runs."""
 
     def __init__(self, *connected: str, readers: int = 1) -> None:
-        self.platform = Slow()
+        self.platform = ScriptedPlatform()
         self.peers = Recorder(*connected)
         self.lists: list[set[str]] = []
         self.reader = MembersReader(
@@ -85,7 +85,7 @@
         while self.reader.polls == polls:
             await self.reader.idle()
 
-    def hear(self, message: Record) -> None:
+    def receive(self, message: Record) -> None:
         self.reader._take(message, "b")
 
 
@@ -108,16 +108,16 @@
     reader = Reader("b")
     await reader.poll(target("r-1"))
     change = ListNews([target("r-2").to_map()], ["r-1"])
-    reader.platform.before = lambda: reader.hear(change)
+    reader.platform.before = lambda: reader.receive(change)
     await reader.poll(target("r-1"))
     assert reader.lists[-1] == {"r-2"}
 
 
 async def test_a_change_of_an_unknown_list_is_of_no_use_but_a_whole_one_is() -> None:
     reader = Reader("b")
-    reader.hear(ListNews([target("r-2").to_map()]))
+    reader.receive(ListNews([target("r-2").to_map()]))
     assert not reader.reader.known
-    reader.hear(ListNews([target("r-2").to_map()], whole=True))
+    reader.receive(ListNews([target("r-2").to_map()], whole=True))
     assert reader.reader.known
     assert reader.lists == [{"r-2"}]
 
@@ -129,7 +129,7 @@
     reader.platform.listed = None
     await reader.reader.idle()
     assert reader.peers.sent == [("b", ListAsk())]
-    reader.hear(ListAsk())
+    reader.receive(ListAsk())
     assert len(reader.peers.sent) == 1
 
 
@@ -137,43 +137,45 @@
 async def test_the_reading_is_shared_by_all_instances_of_a_zone(readers: int) -> None:
     reader = Reader("b", readers=readers)
     await reader.poll(target("r-1"))
-    turns = 20_000
-    for _ in range(turns):
+    iterations = 20_000
+    for _ in range(iterations):
         await reader.reader.idle()
-    mean_s = turns * reader.reader.idle_s / reader.reader.polls
+    mean_s = iterations * reader.reader.idle_s / reader.reader.polls
     assert 0.8 * POLL_S * readers < mean_s < 1.3 * POLL_S * readers
 
 
-class Loads:
-    """Batch streams that only note what they are told."""
+class RecordingStreams:
+    """Batch streams that only record notifications."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, str, int]] = []
+        self.notified: list[tuple[str, str, int]] = []
         self.gone: list[str] = []
 
     def online_changed(
         self, target: str, sender: str, in_flight: int, sequence: int
     ) -> None:
-        self.told.append((target, sender, in_flight))
+        self.notified.append((target, sender, in_flight))
 
     def sender_gone(self, sender: str) -> None:
         self.gone.append(sender)
 
 
-def news_of(owner: str) -> tuple[PeerNews, Loads, Recorder, list[Any], TargetPool]:
+def make_peer_news(
+    owner: str,
+) -> tuple[PeerNews, RecordingStreams, Recorder, list[Any], TargetPool]:
     view = Membership("a", ZONE)
     others = [ListedMember(i, "instance", "h:1", ZONE) for i in ("a", "b")]
     view.apply_list(others)
     keys = [f"r-{n}" for n in range(30) if view.owner(f"r-{n}", ZONE) == owner]
     book = TargetPool(ZONE)
     book.apply_list([target(keys[0], incarnation=2)])
-    loads, peers, jobs = Loads(), Recorder("b"), []
+    loads, peers, jobs = RecordingStreams(), Recorder("b"), []
     news = PeerNews([book], loads, jobs.append, view, peers)
     return news, loads, peers, jobs, book
 
 
 @pytest.mark.parametrize(
-    ("owner", "sender", "instance", "passed_on"),
+    ("owner", "sender", "instance", "forwarded"),
     [
         ("a", "c", "c", False),
         ("b", "c", "c", True),
@@ -182,14 +184,14 @@
     ],
 )
 def test_online_news_gets_to_the_dispatcher_that_is_known_here_in_one_more_step(
-    owner: str, sender: str, instance: str, passed_on: bool
+    owner: str, sender: str, instance: str, forwarded: bool
 ) -> None:
-    news, loads, peers, _, book = news_of(owner)
+    news, loads, peers, _, book = make_peer_news(owner)
     (name,) = book.states_by_id
     message = OnlineNews(instance, name, 4, 9)
     news.take(sender, message)
-    assert peers.sent == ([("b", message)] if passed_on else [])
-    assert loads.told == ([] if passed_on else [(name, instance, 4)])
+    assert peers.sent == ([("b", message)] if forwarded else [])
+    assert loads.notified == ([] if forwarded else [(name, instance, 4)])
     news.removed("c")
     assert loads.gone == ["c"]
 
@@ -198,7 +200,7 @@
 def test_a_target_leaves_only_in_its_incarnation(
     incarnation: int, leaving: bool
 ) -> None:
-    news, _, _, jobs, book = news_of("a")
+    news, _, _, jobs, book = make_peer_news("a")
     (name,) = book.states_by_id
     news.take("b", TargetNews(name, incarnation, True))
     assert book.states_by_id[name].leaving == leaving
@@ -208,7 +210,7 @@
 
 
 class FakeStream:
-    """A stream as the registry of streams sees it."""
+    """The part of a stream that the stream registry uses."""
 
     def __init__(self, instance: str, dialed: bool, incarnation: int = 1) -> None:
         self.instance = instance
@@ -222,7 +224,7 @@
 
 @pytest.mark.parametrize("order", [(0, 1), (1, 0)])
 def test_both_ends_keep_the_same_one_of_two_streams(order: tuple[int, int]) -> None:
-    """Both called each other at once; a's call is kept, whatever comes first."""
+    """If both dial at once, the stream opened by a is kept, in either order."""
     for own, other, kept in (("a", "b", 0), ("b", "a", 1)):
         streams = Streams(own, ZONE)
         both = [FakeStream(other, True), FakeStream(other, False)]
--- a/tests/peers/test_readiness.py
+++ b/tests/peers/test_readiness.py
@@ -1,4 +1,4 @@
-"""When an instance is ready: a table, and one that starts with an empty list."""
+"""Readiness: waiting for targets of declared services, and an empty member list."""
 
 import logbook
 import pytest
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(
     ("steps", "missing"),
     [
-        # Each step: when, the declared services, those listed; then what is awaited.
+        # Each step: time, declared services, listed services; last, awaited services.
         ([(0, None, set()), (END, None, set())], []),
         ([(0, {"a"}, None)], []),
         ([(0, {"a"}, set())], ["a"]),
@@ -24,7 +24,7 @@
         ([(0, {"a"}, {"a"})], []),
         ([(0, {"a"}, set()), (END - 0.1, {"a"}, set())], ["a"]),
         ([(0, {"a"}, set()), (END, {"a"}, set())], []),
-        # Time counts from the first list on, and what was once awaited stays settled.
+        # Time counts from the first list; once settled, waiting never starts again.
         ([(0, {"a"}, None), (END, {"a"}, set())], ["a"]),
         ([(0, {"a"}, {"a"}), (1, {"a", "b"}, set())], []),
         ([(0, set(), set()), (1, {"a"}, set())], []),
@@ -33,11 +33,13 @@
 def test_targets_of_declared_services_are_awaited_for_a_while(
     steps: list[tuple[float, set[str] | None, set[str] | None]], missing: list[str]
 ) -> None:
-    at = [steps[0]]
-    awaited = AwaitedTargets(lambda: at[0][1], lambda: at[0][2], lambda: at[0][0])
+    current = [steps[0]]
+    awaited = AwaitedTargets(
+        lambda: current[0][1], lambda: current[0][2], lambda: current[0][0]
+    )
     found: list[str] = []
     for step in steps:
-        at[0] = step
+        current[0] = step
         found = awaited.missing()
     assert found == missing
 
@@ -81,6 +83,6 @@
     with logbook.TestHandler() as logs:
         for _ in range(int(3 * FIRST_POLLS_S / reader.idle_s)):
             await reader.idle()
-    said = [record for record in logs.records if "have one id" in record.message]
+    warnings = [record for record in logs.records if "have one id" in record.message]
     assert reader.polls > 1
-    assert len(said) == 1
+    assert len(warnings) == 1
--- a/tests/peers/test_relay.py
+++ b/tests/peers/test_relay.py
@@ -1,4 +1,4 @@
-"""The platform through a peer: outcome classes in tables, and end to end."""
+"""Platform calls relayed through a peer: outcomes, refusals and end to end."""
 
 import asyncio
 from typing import Any
@@ -48,8 +48,8 @@
 CONFLICT = Err(Conflict(["k"], {"k": Row("k", {"x": 1}, 3, "t"), "l": None}))
 
 
-class Scripted(MemoryPlatform):
-    """Answers every call with the outcome it was told; counts them."""
+class ScriptedPlatform(MemoryPlatform):
+    """Returns the given outcome for every call; counts the calls."""
 
     def __init__(self, outcome: Result[Any, Any]) -> None:
         super().__init__(lambda: 0.0)
@@ -66,19 +66,19 @@
 
 
 class ScriptedWay(RelayWay):
-    """A relay that answers with the outcome it was told."""
+    """A relay that returns the given outcome; records what it is notified of."""
 
     def __init__(self, outcome: Result[Any, Any]) -> None:
         self.outcome = outcome
         self.calls = 0
-        self.told: list[bool] = []
+        self.notified: list[bool] = []
 
     async def call(self, method: str, arguments: dict[str, Any]) -> Any:
         self.calls += 1
         return self.outcome
 
     def needed(self, cut_off: bool) -> None:
-        self.told.append(cut_off)
+        self.notified.append(cut_off)
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,7 @@
         (CUT, CONFLICT, CONFLICT, CONFLICT),
         (CUT, SILENT, SILENT, SILENT),
         (CUT, CUT, CUT, CUT),
-        # A write that may have left is in doubt, whatever a relay would say.
+        # A write that may have been sent is in doubt, whatever a relay would answer.
         (SILENT, DONE, SILENT, DONE),
         (SILENT, CUT, SILENT, SILENT),
     ],
@@ -101,7 +101,7 @@
     direct: Any, way: Any, write: Any, read: Any
 ) -> None:
     for call, expected in (("transact", write), ("read", read)):
-        platform = RelayedPlatform(Scripted(direct), lambda: 0.0)
+        platform = RelayedPlatform(ScriptedPlatform(direct), lambda: 0.0)
         platform.way = ScriptedWay(way)
         arguments = ([], [], "t") if call == "transact" else (["k"],)
         assert await getattr(platform, call)(*arguments) == expected
@@ -113,17 +113,17 @@
     None
 ):
     now = [0.0]
-    direct, way = Scripted(CUT), ScriptedWay(DONE)
+    direct, way = ScriptedPlatform(CUT), ScriptedWay(DONE)
     platform = RelayedPlatform(direct, lambda: now[0])
     platform.way = way
     for _ in range(5):
         assert await platform.transact([], [], "t") == DONE
-    assert (direct.calls, way.calls, way.told) == (1, 5, [True])
+    assert (direct.calls, way.calls, way.notified) == (1, 5, [True])
     direct.outcome = DONE
     now[0] += PROBE_S
     assert await platform.transact([], [], "t") == DONE
     await until(lambda: not platform.cut_off)
-    assert way.told == [True, False]
+    assert way.notified == [True, False]
     calls = way.calls
     assert await platform.transact([], [], "t") == DONE
     assert way.calls == calls
@@ -131,7 +131,7 @@
 
 
 async def test_while_cut_off_the_direct_way_is_tried_if_no_peer_can_help() -> None:
-    platform = RelayedPlatform(Scripted(DONE), lambda: 0.0)
+    platform = RelayedPlatform(ScriptedPlatform(DONE), lambda: 0.0)
     platform.way = ScriptedWay(CUT)
     platform.cut_off = True
     assert await platform.transact([], [], "t") == DONE
@@ -167,8 +167,8 @@
 ]
 
 
-class Loop(RelayWay):
-    """A relay over nothing but the wire form."""
+class WireRelay(RelayWay):
+    """A relay in this process that encodes and decodes its calls."""
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
@@ -179,15 +179,15 @@
         return decode_outcome(method, kind, unpack(pack(value)))
 
     def needed(self, cut_off: bool) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
 
 async def test_each_call_through_a_relay_is_as_the_direct_one() -> None:
-    direct, far = MemoryPlatform(lambda: 0.0), MemoryPlatform(lambda: 0.0)
-    for memory in (direct, far):
+    direct, remote = MemoryPlatform(lambda: 0.0), MemoryPlatform(lambda: 0.0)
+    for memory in (direct, remote):
         memory.set_members([ListedMember("r-1", "target", "h:1", "oviedo")])
-    relayed = RelayedPlatform(Scripted(CUT), lambda: 0.0)
-    relayed.way = Loop(far)
+    relayed = RelayedPlatform(ScriptedPlatform(CUT), lambda: 0.0)
+    relayed.way = WireRelay(remote)
     relayed.cut_off = True
     for method, *arguments in CALLS:
         expected = await getattr(direct, method)(*arguments)
@@ -206,8 +206,8 @@
         await perform(MemoryPlatform(lambda: 0.0), method, arguments)
 
 
-class Peered(NoPeers):
-    """Peers without sockets; keeps what was sent."""
+class RecordingPeers(NoPeers):
+    """Peers without sockets; records sent messages."""
 
     def __init__(self, *connected: str) -> None:
         self.ids = list(connected)
@@ -221,12 +221,12 @@
         return self.ids
 
 
-def client(peers: Peered, deadline_s: float = 5.0) -> RelayClient:
+def client(peers: RecordingPeers, deadline_s: float = 5.0) -> RelayClient:
     return RelayClient(peers, Membership("a", "oviedo"), deadline_s, lambda: 0.0)
 
 
 async def test_a_stream_that_ends_leaves_the_outcome_unknown() -> None:
-    peers = Peered("b")
+    peers = RecordingPeers("b")
     relay = client(peers)
     call = asyncio.ensure_future(relay.call("transact", {}))
     await until(lambda: peers.sent)
@@ -237,7 +237,7 @@
 
 
 async def test_an_answer_of_another_peer_or_call_is_not_taken() -> None:
-    peers = Peered("b")
+    peers = RecordingPeers("b")
     relay = client(peers)
     call = asyncio.ensure_future(relay.call("read", {}))
     await until(lambda: peers.sent)
@@ -252,7 +252,7 @@
 
 
 async def test_a_peer_that_cannot_help_is_followed_by_another() -> None:
-    peers = Peered("b", "c")
+    peers = RecordingPeers("b", "c")
     relay = client(peers)
     call = asyncio.ensure_future(relay.call("read", {}))
     await until(lambda: len(peers.sent) == 1)
@@ -265,18 +265,18 @@
 
 
 async def test_no_peer_or_too_large_a_call_is_not_done() -> None:
-    assert (await client(Peered()).call("read", {})) == Err(
+    assert (await client(RecordingPeers()).call("read", {})) == Err(
         NotDone("no peer reaches the platform", reached=False)
     )
     too_large = {"name": "o", "data": bytes(MOST_RELAYED_BYTES)}
-    outcome = await client(Peered("b")).call("put_object", too_large)
+    outcome = await client(RecordingPeers("b")).call("put_object", too_large)
     assert isinstance(outcome.err_value, NotDone)
 
 
 async def test_a_busy_relay_refuses_and_its_calls_end_in_time() -> None:
     memory = MemoryPlatform(lambda: 0.0)
     memory.faults.slow_s = 60.0
-    peers = Peered("b")
+    peers = RecordingPeers("b")
     server = RelayServer(memory, peers)
     for number in range(MOST_CALLS_IN + 1):
         server.called("b", RelayCall(number, "read", {"keys": []}, 0.05))
@@ -332,14 +332,14 @@
     for way in ways:
         way.cut = True
     seeds = [first.addresses_by_listener["peers"]]
-    fresh = [
+    started = [
         await mesh.start(f"entry-{n}", platform=ways[n - 1], listed=False, seeds=seeds)
         for n in (3, 4)
     ]
-    for instance in fresh:
+    for instance in started:
         await until(lambda i=instance: "runner-1" in i.online.book.states_by_id)
         await until(lambda i=instance: len(i.peers.connected()) == 3)
-    # The ends of a stream learn of it at different moments.
+    # The two ends of a stream notice it at different times.
     others = ["entry-1", "entry-3", "entry-4"]
     await until(lambda: second.peers.connected() == others)
     names = ["entry-1", "entry-2", "entry-3", "entry-4"]
--- a/tests/peers/test_tls.py
+++ b/tests/peers/test_tls.py
@@ -1,4 +1,4 @@
-"""Streams between peers under TLS, with certificates shown by both ends."""
+"""Streams between peers under mutual TLS."""
 
 import datetime
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 def make_files(directory: Path, name: str) -> TlsFiles:
-    """Write a key and a certificate that is its own authority."""
+    """Write a key and a self-signed certificate."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     now = datetime.datetime.now(datetime.UTC)
