--- a/src/caperridge/gateway/upstream.py
+++ b/src/caperridge/gateway/upstream.py
@@ -30,7 +30,7 @@
     WrongAnswer,
 )
 from caperridge.targets.plain import ADDED_HEADERS
-from caperridge.targets.silence import SilenceWatch
+from caperridge.targets.silence import IdleTimeouts
 
 # Availability zones are some milliseconds apart, and connecting takes one more. A
 # target that has gone does not respond at all, and its caller expects the first event
@@ -105,7 +105,7 @@
     def __init__(
         self,
         response: aiohttp.ClientResponse,
-        watch: SilenceWatch,
+        watch: IdleTimeouts,
         target: str,
         runs: OpenRuns,
     ) -> None:
@@ -145,8 +145,8 @@
         loop = asyncio.get_running_loop()
         try:
             while chunk := await self._response.content.readany():
-                watched.heard_at = loop.time()
-                watched.limit_s = next_timeout_s
+                watched.last_received_at = loop.time()
+                watched.timeout_s = next_timeout_s
                 yield chunk
                 if coalesce_s:
                     await self._coalesce(coalesce_s)
@@ -230,7 +230,7 @@
     def __init__(self, dialect: Dialect) -> None:
         self._dialect = dialect
         self._session: aiohttp.ClientSession | None = None
-        self._watch = SilenceWatch()
+        self._watch = IdleTimeouts()
         self._open_runs = OpenRuns()
 
     def abort_runs(self, target: str) -> int:
--- a/src/caperridge/targets/engine.py
+++ b/src/caperridge/targets/engine.py
@@ -22,7 +22,7 @@
     WrongAnswer,
 )
 from caperridge.targets.own_pauses import Limit, OwnPauses
-from caperridge.targets.silence import SilenceWatch
+from caperridge.targets.silence import IdleTimeouts
 
 LONGEST_CONNECT_S = 1.0
 CONNECT_SHARE = 0.8  # of the time for the first event
@@ -100,7 +100,7 @@
         self._first_event_s = first_event_s
         self._between_events_s = between_events_s
         self._session: aiohttp.ClientSession | None = None
-        self._silence = SilenceWatch()
+        self._silence = IdleTimeouts()
         self._pauses = OwnPauses()
 
     async def close(self) -> None:
@@ -203,10 +203,10 @@
                 events = checker.feed(data)
                 if events:
                     # Whoever reads slowly is not the target's fault.
-                    watched.limit_s = math.inf
+                    watched.timeout_s = math.inf
                     yield events
-                    watched.heard_at = clock()
-                    watched.limit_s = between_s
+                    watched.last_received_at = clock()
+                    watched.timeout_s = between_s
                 if checker.wrong is not None:
                     raise checker.wrong
         finally:
--- a/src/caperridge/targets/silence.py
+++ b/src/caperridge/targets/silence.py
@@ -1,81 +1,81 @@
-"""Ending streams on which nothing came for too long, with one timer for them all.
+"""Read idle timeouts for many streams, checked by one periodic timer.
 
-The HTTP library's own limit cancels and sets a timer for each read, which costs more
-than checking the event that was read. Here a read only notes the time.
+The HTTP library's own read timeout cancels and sets a timer for each read, which costs
+more than checking the event that was read. Here a read only records the time.
 """
 
 import asyncio
 from collections.abc import Callable
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 
 
-class Watched:
-    """One stream under watch.
+class StreamTimeout:
+    """The idle timeout of one stream.
 
     Attributes:
-        heard_at: when something last came, by the loop's clock.
-        limit_s: longest silence from then on.
-        end: called once when it lasts longer.
+        last_received_at: when data last arrived, by the loop's clock.
+        timeout_s: longest time without data from then on.
+        on_timeout: called once when that time is exceeded.
     """
 
-    __slots__ = ("end", "heard_at", "limit_s")
+    __slots__ = ("on_timeout", "last_received_at", "timeout_s")
 
     def __init__(
-        self, heard_at: float, limit_s: float, end: Callable[[], None]
+        self, last_received_at: float, timeout_s: float, on_timeout: Callable[[], None]
     ) -> None:
-        self.heard_at = heard_at
-        self.limit_s = limit_s
-        self.end = end
+        self.last_received_at = last_received_at
+        self.timeout_s = timeout_s
+        self.on_timeout = on_timeout
 
 
-class SilenceWatch:
-    """Watches the streams of one client; late by at most ``SWEEP_S``."""
+class IdleTimeouts:
+    """Idle timeouts of one client's streams; late by at most ``SWEEP_INTERVAL_S``."""
 
     def __init__(self) -> None:
-        self._watched: set[Watched] = set()
+        self._timeouts: set[StreamTimeout] = set()
         self._timer: asyncio.TimerHandle | None = None
 
-    def add(self, limit_s: float, end: Callable[[], None]) -> Watched:
-        """Watch a stream from now on."""
+    def add(self, timeout_s: float, on_timeout: Callable[[], None]) -> StreamTimeout:
+        """Start the timeout of a stream now."""
         loop = asyncio.get_running_loop()
-        watched = Watched(loop.time(), limit_s, end)
-        self._watched.add(watched)
+        timeout = StreamTimeout(loop.time(), timeout_s, on_timeout)
+        self._timeouts.add(timeout)
         if self._timer is None:
             self._set_timer(loop)
-        return watched
+        return timeout
 
-    def remove(self, watched: Watched) -> None:
-        """Watch the stream no longer."""
-        self._watched.discard(watched)
+    def remove(self, timeout: StreamTimeout) -> None:
+        """Remove the timeout of a stream."""
+        self._timeouts.discard(timeout)
 
     def sweep(self, now: float, due: float) -> None:
-        """End every stream that has been silent for too long at ``now``.
+        """End each stream that has been idle for longer than its timeout at ``now``.
 
-        A sweep that comes long after it was ``due`` ends none: the process was
-        paused, and what came meanwhile has not been read yet.
+        A sweep that runs long after it was ``due`` ends none: the process was
+        paused, and data that arrived meanwhile has not been read yet.
         """
-        if now - due > SWEEP_S:
+        if now - due > SWEEP_INTERVAL_S:
             return
-        for watched in list(self._watched):
-            if now - watched.heard_at <= watched.limit_s:
+        for timeout in list(self._timeouts):
+            if now - timeout.last_received_at <= timeout.timeout_s:
                 continue
-            self._watched.discard(watched)
-            watched.end()
+            self._timeouts.discard(timeout)
+            timeout.on_timeout()
 
     def close(self) -> None:
-        """Watch nothing any more."""
-        self._watched.clear()
+        """Remove all timeouts and stop the timer."""
+        self._timeouts.clear()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _set_timer(self, loop: asyncio.AbstractEventLoop) -> None:
-        due = loop.time() + SWEEP_S
+        due = loop.time() + SWEEP_INTERVAL_S
         self._timer = loop.call_at(due, self._sweep, loop, due)
 
     def _sweep(self, loop: asyncio.AbstractEventLoop, due: float) -> None:
         self._timer = None
         self.sweep(loop.time(), due)
-        if self._watched:
+        if self._timeouts:
             self._set_timer(loop)
