--- a/src/caperridge/instance/relay.py
+++ b/src/caperridge/instance/relay.py
@@ -14,7 +14,7 @@
 from caperridge.peers.messages import RelayAnswer, RelayCall
 from caperridge.records import Record
 from caperridge.store.interface import NotDone, Platform, Unknown
-from caperridge.store.relay import RelayWay
+from caperridge.store.relay import RelayTransport
 from caperridge.store.relay_wire import (
     RelayError,
     decode_outcome,
@@ -42,7 +42,7 @@
         self.answer = answer
 
 
-class RelayClient(RelayWay, PeerListener):
+class RelayClient(RelayTransport, PeerListener):
     """Calls the platform through the peers of one instance.
 
     Args:
@@ -71,7 +71,7 @@
         peers.listen(self)
 
     async def call(self, method: str, arguments: dict[str, Any]) -> Result[Any, Any]:
-        """See :meth:`RelayWay.call`."""
+        """See :meth:`RelayTransport.call`."""
         self._open_streams()
         if len(self._waiting_by_number) >= MOST_CALLS_OUT:
             return Err(NotDone("too many calls wait for a relay", 1.0, reached=False))
@@ -92,8 +92,8 @@
             self._choice.record_failure(peer, self._clock())
         return outcome
 
-    def needed(self, cut_off: bool) -> None:
-        """See :meth:`RelayWay.needed`."""
+    def set_needed(self, cut_off: bool) -> None:
+        """See :meth:`RelayTransport.set_needed`."""
         self._needed = cut_off
         if cut_off:
             self._open_streams()
--- a/src/caperridge/instance/wiring_peers.py
+++ b/src/caperridge/instance/wiring_peers.py
@@ -58,7 +58,7 @@
 ) -> RelayedPlatform:
     """Return the platform, reached through a peer where it must be."""
     relayed = RelayedPlatform(direct, clock)
-    relayed.way = RelayClient(
+    relayed.transport = RelayClient(
         mesh, instance.membership, instance.settings.platform_deadline_s, clock
     )
     return relayed
--- a/src/caperridge/store/relay.py
+++ b/src/caperridge/store/relay.py
@@ -28,11 +28,11 @@
 from caperridge.store.wire import encode
 
 log = logger(__name__)
-PROBE_S = 1.0
+PROBE_INTERVAL_S = 1.0
 Call = Callable[[], Any]
 
 
-class RelayWay(ABC):
+class RelayTransport(ABC):
     """Calls the platform through some peer."""
 
     @abstractmethod
@@ -40,7 +40,7 @@
         """Return the outcome; ``NotDone`` if there was nobody to ask."""
 
     @abstractmethod
-    def needed(self, cut_off: bool) -> None:
+    def set_needed(self, cut_off: bool) -> None:
         """Learn whether relaying is needed, so as to keep streams for it."""
 
 
@@ -56,7 +56,7 @@
         self.direct = direct
         self.cut_off = False
         self.relayed = 0
-        self.way: RelayWay | None = None
+        self.transport: RelayTransport | None = None
         self._clock = clock
         self._probe_due = 0.0
         self._probe: asyncio.Task[None] | None = None
@@ -142,43 +142,43 @@
         direct: Call,
         repeatable: bool = True,
     ) -> Result[Any, Any]:
-        if self.way is None:
+        if self.transport is None:
             return await direct()
         if self.cut_off:
             self._probe_if_due()
             outcome = await self._relay(method, arguments)
-            if not _untouched(outcome):
+            if not _certainly_not_sent(outcome):
                 return outcome
         outcome = await direct()
         was_cut_off = self.cut_off
-        self._note(outcome)
+        self._update_reachability(outcome)
         if was_cut_off or _reached(outcome):
             return outcome
-        if not (repeatable or _untouched(outcome)):
+        if not (repeatable or _certainly_not_sent(outcome)):
             # It may have taken effect: the caller settles that, by the relay then.
             return outcome
         relayed = await self._relay(method, arguments)
-        return outcome if _untouched(relayed) else relayed
+        return outcome if _certainly_not_sent(relayed) else relayed
 
     async def _relay(self, method: str, arguments: dict[str, Any]) -> Result[Any, Any]:
-        assert self.way is not None
-        outcome = await self.way.call(method, arguments)
+        assert self.transport is not None
+        outcome = await self.transport.call(method, arguments)
         if _reached(outcome):
             self.relayed += 1
         return outcome
 
-    def _note(self, outcome: Result[Any, Any]) -> None:
+    def _update_reachability(self, outcome: Result[Any, Any]) -> None:
         cut_off = not _reached(outcome)
         if cut_off == self.cut_off:
             return
         self.cut_off = cut_off
-        self._probe_due = self._clock() + PROBE_S
+        self._probe_due = self._clock() + PROBE_INTERVAL_S
         if cut_off:
             log.warning("the platform is not reached: relaying through peers")
         else:
             log.info("the platform is reached again")
-        if self.way is not None:
-            self.way.needed(cut_off)
+        if self.transport is not None:
+            self.transport.set_needed(cut_off)
 
     def _probe_if_due(self) -> None:
         """Find out, beside the calls, whether the direct way is open again."""
@@ -186,11 +186,11 @@
             return
         if self._probe is not None and not self._probe.done():
             return
-        self._probe_due = self._clock() + PROBE_S
-        self._probe = asyncio.get_running_loop().create_task(self._try_direct())
+        self._probe_due = self._clock() + PROBE_INTERVAL_S
+        self._probe = asyncio.get_running_loop().create_task(self._probe_direct())
 
-    async def _try_direct(self) -> None:
-        self._note(await self.direct.read([]))
+    async def _probe_direct(self) -> None:
+        self._update_reachability(await self.direct.read([]))
 
 
 def _reached(outcome: Result[Any, Any]) -> bool:
@@ -201,7 +201,7 @@
     return not isinstance(error, NotDone | Unknown) or error.reached
 
 
-def _untouched(outcome: Result[Any, Any]) -> bool:
+def _certainly_not_sent(outcome: Result[Any, Any]) -> bool:
     """Return whether the call certainly came nowhere near the platform."""
     if isinstance(outcome, Ok):
         return False
--- a/src/caperridge/targets/silence.py
+++ b/src/caperridge/targets/silence.py
@@ -19,7 +19,7 @@
         on_timeout: called once when that time is exceeded.
     """
 
-    __slots__ = ("on_timeout", "last_received_at", "timeout_s")
+    __slots__ = ("last_received_at", "on_timeout", "timeout_s")
 
     def __init__(
         self, last_received_at: float, timeout_s: float, on_timeout: Callable[[], None]
--- a/tests/peers/test_relay.py
+++ b/tests/peers/test_relay.py
@@ -30,7 +30,7 @@
     RowAbsent,
     Unknown,
 )
-from caperridge.store.relay import PROBE_S, RelayedPlatform, RelayWay
+from caperridge.store.relay import PROBE_INTERVAL_S, RelayedPlatform, RelayTransport
 from caperridge.store.relay_wire import (
     RelayError,
     decode_outcome,
@@ -49,7 +49,7 @@
 
 
 class Scripted(MemoryPlatform):
-    """Answers every call with the outcome it was told; counts them."""
+    """Answers every call with the scripted outcome; counts them."""
 
     def __init__(self, outcome: Result[Any, Any]) -> None:
         super().__init__(lambda: 0.0)
@@ -65,20 +65,20 @@
         return self.outcome
 
 
-class ScriptedWay(RelayWay):
-    """A relay that answers with the outcome it was told."""
+class ScriptedTransport(RelayTransport):
+    """A relay that answers with the scripted outcome."""
 
     def __init__(self, outcome: Result[Any, Any]) -> None:
         self.outcome = outcome
         self.calls = 0
-        self.told: list[bool] = []
+        self.needed: list[bool] = []
 
     async def call(self, method: str, arguments: dict[str, Any]) -> Any:
         self.calls += 1
         return self.outcome
 
-    def needed(self, cut_off: bool) -> None:
-        self.told.append(cut_off)
+    def set_needed(self, cut_off: bool) -> None:
+        self.needed.append(cut_off)
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
 ) -> None:
     for call, expected in (("transact", write), ("read", read)):
         platform = RelayedPlatform(Scripted(direct), lambda: 0.0)
-        platform.way = ScriptedWay(way)
+        platform.transport = ScriptedTransport(way)
         arguments = ([], [], "t") if call == "transact" else (["k"],)
         assert await getattr(platform, call)(*arguments) == expected
         assert platform.direct.calls == 1
@@ -113,17 +113,17 @@
     None
 ):
     now = [0.0]
-    direct, way = Scripted(CUT), ScriptedWay(DONE)
+    direct, way = Scripted(CUT), ScriptedTransport(DONE)
     platform = RelayedPlatform(direct, lambda: now[0])
-    platform.way = way
+    platform.transport = way
     for _ in range(5):
         assert await platform.transact([], [], "t") == DONE
-    assert (direct.calls, way.calls, way.told) == (1, 5, [True])
+    assert (direct.calls, way.calls, way.needed) == (1, 5, [True])
     direct.outcome = DONE
-    now[0] += PROBE_S
+    now[0] += PROBE_INTERVAL_S
     assert await platform.transact([], [], "t") == DONE
     await until(lambda: not platform.cut_off)
-    assert way.told == [True, False]
+    assert way.needed == [True, False]
     calls = way.calls
     assert await platform.transact([], [], "t") == DONE
     assert way.calls == calls
@@ -132,7 +132,7 @@
 
 async def test_while_cut_off_the_direct_way_is_tried_if_no_peer_can_help() -> None:
     platform = RelayedPlatform(Scripted(DONE), lambda: 0.0)
-    platform.way = ScriptedWay(CUT)
+    platform.transport = ScriptedTransport(CUT)
     platform.cut_off = True
     assert await platform.transact([], [], "t") == DONE
     assert not platform.cut_off
@@ -167,7 +167,7 @@
 ]
 
 
-class Loop(RelayWay):
+class Loop(RelayTransport):
     """A relay over nothing but the wire form."""
 
     def __init__(self, platform: Platform) -> None:
@@ -178,7 +178,7 @@
         kind, value = encode_outcome(outcome)
         return decode_outcome(method, kind, unpack(pack(value)))
 
-    def needed(self, cut_off: bool) -> None:
+    def set_needed(self, cut_off: bool) -> None:
         """Nothing to do."""
 
 
@@ -187,7 +187,7 @@
     for memory in (direct, far):
         memory.set_members([ListedMember("r-1", "target", "h:1", "oviedo")])
     relayed = RelayedPlatform(Scripted(CUT), lambda: 0.0)
-    relayed.way = Loop(far)
+    relayed.transport = Loop(far)
     relayed.cut_off = True
     for method, *arguments in CALLS:
         expected = await getattr(direct, method)(*arguments)
