--- a/src/caperridge/gateway/upstream.py
+++ b/src/caperridge/gateway/upstream.py
@@ -29,7 +29,7 @@
     TargetRefused,
     WrongAnswer,
 )
-from caperridge.targets.plain import ADDED_HEADERS
+from caperridge.targets.plain import AUTO_HEADERS
 from caperridge.targets.silence import IdleTimeouts
 
 # Availability zones are some milliseconds apart, and connecting takes one more. A
@@ -283,7 +283,7 @@
                 yarl.URL(f"http://{target.address}{outbound.path}", encoded=True),
                 data=outbound.body or None,
                 headers=outbound.headers,
-                skip_auto_headers=ADDED_HEADERS,
+                skip_auto_headers=AUTO_HEADERS,
                 timeout=aiohttp.ClientTimeout(
                     total=None, sock_connect=CONNECT_TIMEOUT_S
                 ),
--- a/src/caperridge/instance/absent_targets.py
+++ b/src/caperridge/instance/absent_targets.py
@@ -62,7 +62,7 @@
             task.add_done_callback(self._asks.discard)
 
     async def _ask(self, target: str, address: str) -> None:
-        if not await self._engines.listens(address):
+        if not await self._engines.is_listening(address):
             return
         self._due_by_target.pop(target, None)
         self._back()
--- a/src/caperridge/instance/lease_guard.py
+++ b/src/caperridge/instance/lease_guard.py
@@ -38,6 +38,6 @@
         """See :meth:`EngineClient.cancel`."""
         await self._engines.cancel(address, attempt)
 
-    async def listens(self, address: str) -> bool:
+    async def is_listening(self, address: str) -> bool:
         """See :meth:`EngineClient.listens`."""
-        return await self._engines.listens(address)
+        return await self._engines.is_listening(address)
--- a/src/caperridge/targets/engine.py
+++ b/src/caperridge/targets/engine.py
@@ -21,11 +21,11 @@
     TargetRefused,
     WrongAnswer,
 )
-from caperridge.targets.own_pauses import Limit, OwnPauses
+from caperridge.targets.own_pauses import PauseAwareTimeout, PauseMonitor
 from caperridge.targets.silence import IdleTimeouts
 
-LONGEST_CONNECT_S = 1.0
-CONNECT_SHARE = 0.8  # of the time for the first event
+MAX_CONNECT_S = 1.0
+CONNECT_TIMEOUT_RATIO = 0.8  # of the time for the first event
 
 
 class AttemptFailed(Exception):  # noqa: N818 - read as "attempt failed"
@@ -57,7 +57,7 @@
         "between_events_s",
         "body",
         "first_event_s",
-        "latest_s",
+        "max_wait_s",
         "path",
         "request",
         "resume_from",
@@ -73,7 +73,7 @@
         resume_from: int = 0,
         first_event_s: float | None = None,
         between_events_s: float | None = None,
-        latest_s: float = math.inf,
+        max_wait_s: float = math.inf,
     ) -> None:
         self.request = request
         self.attempt = attempt
@@ -83,7 +83,7 @@
         self.resume_from = resume_from
         self.first_event_s = first_event_s
         self.between_events_s = between_events_s
-        self.latest_s = latest_s
+        self.max_wait_s = max_wait_s
 
 
 class EngineClient:
@@ -101,7 +101,7 @@
         self._between_events_s = between_events_s
         self._session: aiohttp.ClientSession | None = None
         self._silence = IdleTimeouts()
-        self._pauses = OwnPauses()
+        self._pauses = PauseMonitor()
 
     async def close(self) -> None:
         """Close all connections."""
@@ -130,12 +130,12 @@
             body["resume_from"] = attempt.resume_from
         first_s = attempt.first_event_s or self._first_event_s
         try:
-            async with self._pauses.limit(first_s, attempt.latest_s) as limit:
+            async with self._pauses.timeout(first_s, attempt.max_wait_s) as limit:
                 response = await self._post(attempt, body, limit)
             try:
                 if response.status != 200:
                     async with asyncio.timeout_at(limit.due):
-                        raise AttemptFailed(await _refused(response))
+                        raise AttemptFailed(await _read_refusal(response))
                 async for events in self._events(response, attempt, limit.due):
                     yield events
             finally:
@@ -154,16 +154,16 @@
             raise AttemptFailed(WrongAnswer(str(error))) from error
 
     async def _post(
-        self, attempt: Attempt, body: dict[str, Any], limit: Limit
+        self, attempt: Attempt, body: dict[str, Any], limit: PauseAwareTimeout
     ) -> aiohttp.ClientResponse:
         loop = asyncio.get_running_loop()
         while True:
             began = loop.time()
-            lost_s = self._pauses.lost_s
+            lost_s = self._pauses.paused_s
             # A connection that takes too long is certain not to have carried a byte,
             # so its limit has to run out before the other. Reads have a watch: see
             # targets/silence.py.
-            connect_s = min(LONGEST_CONNECT_S, (limit.due - began) * CONNECT_SHARE)
+            connect_s = min(MAX_CONNECT_S, (limit.due - began) * CONNECT_TIMEOUT_RATIO)
             try:
                 return await self._open().post(
                     f"http://{attempt.address}{attempt.path}",
@@ -178,8 +178,8 @@
                 )
             except aiohttp.ConnectionTimeoutError:
                 now = loop.time()
-                self._pauses.look(now)
-                if self._pauses.lost_s == lost_s or limit.due <= now:
+                self._pauses.check(now)
+                if self._pauses.paused_s == lost_s or limit.due <= now:
                     raise
                 # It may have come while the process stood still.
 
@@ -195,7 +195,7 @@
             due - clock(), lambda: content.set_exception(silent)
         )
         try:
-            while not checker.whole:
+            while not checker.received_done:
                 # A method of the reader costs less for each read than its iterator.
                 data = await content.readany()
                 if not data:
@@ -207,11 +207,11 @@
                     yield events
                     watched.last_received_at = clock()
                     watched.timeout_s = between_s
-                if checker.wrong is not None:
-                    raise checker.wrong
+                if checker.wrong_event is not None:
+                    raise checker.wrong_event
         finally:
             self._silence.remove(watched)
-        if not checker.whole:
+        if not checker.received_done:
             raise AttemptFailed(Lost("the stream ended without its closing mark"))
 
     async def get(self, address: str, path: str) -> Any:
@@ -226,7 +226,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError, orjson.JSONDecodeError):
             return None
 
-    async def listens(self, address: str) -> bool:
+    async def is_listening(self, address: str) -> bool:
         """Return whether the engine answers at all, whatever it says."""
         try:
             async with self._open().get(
@@ -248,7 +248,7 @@
                 pass
 
 
-async def _refused(response: aiohttp.ClientResponse) -> TargetRefused:
+async def _read_refusal(response: aiohttp.ClientResponse) -> TargetRefused:
     reason, run, leaving = f"status {response.status}", "", False
     try:
         error = orjson.loads(await response.read())["error"]
--- a/src/caperridge/targets/events.py
+++ b/src/caperridge/targets/events.py
@@ -37,11 +37,11 @@
         "_attempt",
         "_expected",
         "_head",
-        "_left",
+        "_remainder",
         "_request",
         "next_offset",
-        "whole",
-        "wrong",
+        "received_done",
+        "wrong_event",
     )
 
     def __init__(self, request: str, attempt: str, next_offset: int) -> None:
@@ -51,11 +51,11 @@
             request.encode(),
             attempt.encode(),
         )
-        self._left = b""
+        self._remainder = b""
         self.next_offset = next_offset
         self._expected = b"%b%d," % (self._head, next_offset)
-        self.whole = False
-        self.wrong: WrongEventError | None = None
+        self.received_done = False
+        self.wrong_event: WrongEventError | None = None
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the token events completed by ``data``, each with its separator.
@@ -64,26 +64,26 @@
         before it are returned, for they are good. What follows the closing mark is
         nobody's and ignored.
         """
-        if self._left:
-            data = self._left + data
+        if self._remainder:
+            data = self._remainder + data
         checked: list[bytes] = []
         start = 0
-        while (end := data.find(_SEPARATOR, start)) >= 0 and not self.whole:
+        while (end := data.find(_SEPARATOR, start)) >= 0 and not self.received_done:
             after = end + len(_SEPARATOR)
             if data.startswith(self._expected, start):
                 self._advance()
                 checked.append(data[start:after])
             elif data[start:after] == DONE_EVENT:
-                self.whole = True
+                self.received_done = True
             else:
                 try:
                     self._check(data[start:end])
                 except WrongEventError as error:
-                    self.wrong = error
+                    self.wrong_event = error
                     break
                 checked.append(data[start:after])
             start = after
-        self._left = data[start:]
+        self._remainder = data[start:]
         return checked
 
     def _advance(self) -> None:
--- a/src/caperridge/targets/listening.py
+++ b/src/caperridge/targets/listening.py
@@ -4,7 +4,7 @@
 import contextlib
 
 # Availability zones are some milliseconds apart; a host that lives refuses at once.
-WITHIN_S = 0.2
+CONNECT_TIMEOUT_S = 0.2
 
 
 async def connect(address: str) -> None:
@@ -20,7 +20,7 @@
         await writer.wait_closed()
 
 
-async def is_refused(address: str, within_s: float = WITHIN_S) -> bool:
+async def is_refused(address: str, within_s: float = CONNECT_TIMEOUT_S) -> bool:
     """Return whether nothing listens at ``address`` any more, as its host says.
 
     A host that says nothing may be cut off, and its target live.
--- a/src/caperridge/targets/plain.py
+++ b/src/caperridge/targets/plain.py
@@ -11,9 +11,9 @@
 
 DEADLINE_S = 30.0
 CONNECT_S = 2.0
-MOST_ANSWER_BYTES = 16 * 2**20
+MAX_ANSWER_BYTES = 16 * 2**20
 # What the library would add by itself; a service gets what its caller sent.
-ADDED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
 class PlainCall(Record):
@@ -73,7 +73,7 @@
         self,
         deadline_s: float = DEADLINE_S,
         connect_s: float = CONNECT_S,
-        most_answer_bytes: int = MOST_ANSWER_BYTES,
+        most_answer_bytes: int = MAX_ANSWER_BYTES,
     ) -> None:
         self.deadline_s = deadline_s
         self._timeout = aiohttp.ClientTimeout(total=deadline_s, sock_connect=connect_s)
@@ -106,11 +106,11 @@
                 yarl.URL(f"http://{address}{call.path}", encoded=True),
                 data=call.body or None,
                 headers=call.headers,
-                skip_auto_headers=ADDED_HEADERS,
+                skip_auto_headers=AUTO_HEADERS,
                 timeout=self._timeout,
                 allow_redirects=False,
             ) as response:
-                body = await self._body(response)
+                body = await self._read_body(response)
                 if body is None:
                     text = f"the answer has over {self._most_answer_bytes} bytes"
                     return Err(AnswerTooLarge(text))
@@ -125,7 +125,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Err(Lost(type(error).__name__))
 
-    async def _body(self, response: aiohttp.ClientResponse) -> bytes | None:
+    async def _read_body(self, response: aiohttp.ClientResponse) -> bytes | None:
         pieces: list[bytes] = []
         size = 0
         async for piece in response.content.iter_any():
--- a/tests/targets/test_events.py
+++ b/tests/targets/test_events.py
@@ -35,16 +35,16 @@
 def test_a_wrong_event_is_refused(data: bytes) -> None:
     checker = EventChecker("r", "a", 0)
     passed_on = checker.feed(data)
-    assert isinstance(checker.wrong, WrongEventError)
+    assert isinstance(checker.wrong_event, WrongEventError)
     assert passed_on in ([], [event(0)])
-    assert not checker.whole
+    assert not checker.received_done
 
 
 def test_an_event_after_the_closing_mark_is_not_passed_on() -> None:
     checker = EventChecker("r", "a", 0)
     assert checker.feed(event(0) + DONE_EVENT + event(1)) == [event(0)]
     assert checker.feed(event(2)) == []
-    assert (checker.whole, checker.wrong) == (True, None)
+    assert (checker.received_done, checker.wrong_event) == (True, None)
 
 
 def test_fields_in_another_order_are_parsed() -> None:
@@ -66,5 +66,5 @@
         checked += checker.feed(stream[at : at + size])
         at += size
     assert checked == events
-    assert checker.whole
+    assert checker.received_done
     assert checker.next_offset == start + count
