--- a/src/caperridge/instance/lease_guard.py
+++ b/src/caperridge/instance/lease_guard.py
@@ -39,5 +39,5 @@
         await self._engines.cancel(address, attempt)
 
     async def is_listening(self, address: str) -> bool:
-        """See :meth:`EngineClient.listens`."""
+        """See :meth:`EngineClient.is_listening`."""
         return await self._engines.is_listening(address)
--- a/src/caperridge/instance/process.py
+++ b/src/caperridge/instance/process.py
@@ -148,7 +148,7 @@
         )
         self.plain_items = PlainItems(
             self.platform,
-            PlainClient(most_answer_bytes=MOST_RESULT_BYTES),
+            PlainClient(max_answer_bytes=MOST_RESULT_BYTES),
             OwnPlainTargets(self.streams, clock),
             self.dispatcher.may_start,
             clock,
--- a/src/caperridge/instance/relay.py
+++ b/src/caperridge/instance/relay.py
@@ -19,8 +19,8 @@
     RelayError,
     decode_outcome,
     encode_outcome,
+    estimated_size,
     perform,
-    size_of,
 )
 
 log = logger(__name__)
@@ -75,7 +75,7 @@
         self._open_streams()
         if len(self._waiting_by_number) >= MOST_CALLS_OUT:
             return Err(NotDone("too many calls wait for a relay", 1.0, reached=False))
-        if size_of(arguments) > MOST_RELAYED_BYTES:
+        if estimated_size(arguments) > MOST_RELAYED_BYTES:
             return Err(NotDone("the call is too large for a relay", reached=False))
         asked: set[str] = set()
         outcome: Result[Any, Any] = Err(
@@ -202,7 +202,7 @@
 
     def _answer(self, sender: str, number: int, outcome: Result[Any, Any]) -> None:
         kind, value = encode_outcome(outcome)
-        if size_of(value) > MOST_RELAYED_BYTES:
+        if estimated_size(value) > MOST_RELAYED_BYTES:
             too_large = NotDone("the answer is too large for a relay")
             kind, value = encode_outcome(Err(too_large))
         self.answered += 1
--- a/src/caperridge/platform/connections.py
+++ b/src/caperridge/platform/connections.py
@@ -15,12 +15,12 @@
 from caperridge.no_repeat import loss_is_final
 
 # Instances with work call several times a second; an idle connection costs little.
-KEPT_S = 20
+KEEPALIVE_TIMEOUT_S = 20
 # The store acknowledges within some milliseconds, however long its answer takes.
-UNACKNOWLEDGED_MS = 1000
+USER_TIMEOUT_MS = 1000
 
 
-class KeptConnections:
+class SessionPool:
     """Gives out sessions of the HTTP library; one at a time is current.
 
     An earlier one lives until its last call has ended.
@@ -31,19 +31,19 @@
         self._calls_by_session: dict[aiohttp.ClientSession, int] = {}
 
     @contextlib.asynccontextmanager
-    async def used(self) -> AsyncIterator[aiohttp.ClientSession]:
+    async def acquire(self) -> AsyncIterator[aiohttp.ClientSession]:
         """Give the current session for one call."""
         session = self._current
         if session is None:
-            session = self._current = _session()
+            session = self._current = _make_session()
             self._calls_by_session[session] = 0
         self._calls_by_session[session] += 1
         try:
             yield session
         finally:
-            await self._returned(session)
+            await self._release(session)
 
-    def suspect(self, session: aiohttp.ClientSession) -> bool:
+    def retire(self, session: aiohttp.ClientSession) -> bool:
         """Give no more calls to ``session``: one of its calls got no answer.
 
         Returns:
@@ -61,7 +61,7 @@
             await session.close()
         self._calls_by_session.clear()
 
-    async def _returned(self, session: aiohttp.ClientSession) -> None:
+    async def _release(self, session: aiohttp.ClientSession) -> None:
         calls = self._calls_by_session.get(session)
         if calls is None:
             return
@@ -71,19 +71,19 @@
             await session.close()
 
 
-def _session() -> aiohttp.ClientSession:
+def _make_session() -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
-            limit=0, keepalive_timeout=KEPT_S, socket_factory=_watched_socket
+            limit=0, keepalive_timeout=KEEPALIVE_TIMEOUT_S, socket_factory=_make_socket
         ),
         cookie_jar=aiohttp.DummyCookieJar(),
         middlewares=(loss_is_final,),
     )
 
 
-def _watched_socket(address: aiohttp.AddrInfoType) -> socket.socket:
+def _make_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = address
     made = socket.socket(family, kind, protocol)
-    set_user_timeout(made, UNACKNOWLEDGED_MS)
+    set_user_timeout(made, USER_TIMEOUT_MS)
     enable_keepalive(made)
     return made
--- a/src/caperridge/platform/dialect.py
+++ b/src/caperridge/platform/dialect.py
@@ -35,10 +35,10 @@
 _READY = "ready"
 _DRAINING = "draining"
 # No engine batches nearly as many; an entry that says so would draw all requests.
-MOST_SLOTS = 10_000
-MOST_WHOLE = 2**63 - 1
+MAX_SLOTS = 10_000
+MAX_INTEGER = 2**63 - 1
 # What reading a field of another type or shape raises.
-_UNREADABLE = (
+_DECODE_ERRORS = (
     ValueError,
     LookupError,
     TypeError,
@@ -89,7 +89,7 @@
                     idle_s=limits["idleTimeoutMs"] / 1000,
                 ),
             )
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             raise DecodeError(f"no configuration: {error!r}") from error
 
     def target(self, name: str, value: bytes) -> Target:
@@ -101,26 +101,26 @@
             service=fields.text("service"),
             address=fields.address("address"),
             availability_zone=fields.text("zone"),
-            slots=fields.integer("slots", 1, MOST_SLOTS),
+            slots=fields.integer("slots", 1, MAX_SLOTS),
             draining=fields.choice("state", (_READY, _DRAINING)) == _DRAINING,
         )
         # Not used here, but an entry without them was not written by a target.
         fields.text("version")
         fields.number("coldLeftMs")
-        fields.integer("seq", 0, MOST_WHOLE)
+        fields.integer("seq", 0, MAX_INTEGER)
         born = self._born(fields)
         fields.check()
         return target.replace(id=incarnation_id(name, born)) if born else target
 
     def _born(self, fields: Fields) -> int:
         """Return when a target started, in ms; 0 if it does not say."""
-        return fields.integer("born", 1, MOST_WHOLE) if "born" in fields else 0
+        return fields.integer("born", 1, MAX_INTEGER) if "born" in fields else 0
 
     def load(self, body: bytes) -> TargetLoad:
         """See :meth:`Dialect.load`."""
         fields = Fields(self.load_path, body)
-        running = fields.integer("activeRequests", 0, MOST_WHOLE)
-        waiting = fields.integer("queueDepth", 0, MOST_WHOLE)
+        running = fields.integer("activeRequests", 0, MAX_INTEGER)
+        waiting = fields.integer("queueDepth", 0, MAX_INTEGER)
         born = self._born(fields)
         fields.check()
         return TargetLoad(running, waiting, born)
@@ -129,7 +129,7 @@
         """See :meth:`Dialect.job`."""
         try:
             return JobRequest([_item(item) for item in orjson.loads(body)["requests"]])
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             raise DecodeError(f"no job: {error!r}") from error
 
     def results(self, page: ResultsPage) -> bytes:
--- a/src/caperridge/platform/store.py
+++ b/src/caperridge/platform/store.py
@@ -22,14 +22,14 @@
     TransactionError,
 )
 from caperridge.no_repeat import LostOnTheWayError
-from caperridge.platform.connections import KeptConnections
+from caperridge.platform.connections import SessionPool
 from caperridge.store.interface import NotDone, Unknown
 
 # The store answers in 4 to 25 ms; slow days take 60 times as long.
-CALL_S = 2.0
-CONNECT_S = 0.5
+CALL_TIMEOUT_S = 2.0
+CONNECT_TIMEOUT_S = 0.5
 # A watch whose answer is this late has a dead connection.
-WATCH_SLACK_S = 0.7
+LONG_POLL_SLACK_S = 0.7
 _NOT_DONE = frozenset({429, 503, 507})
 _NO_CONNECTION = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
@@ -43,8 +43,8 @@
 
     def __init__(self, address: str) -> None:
         self._base = f"http://{address}"
-        self._connections = KeptConnections()
-        self._watching: set[asyncio.Task[Result[RowsRead, ChangesError]]] = set()
+        self._connections = SessionPool()
+        self._long_polls: set[asyncio.Task[Result[RowsRead, ChangesError]]] = set()
 
     async def close(self) -> None:
         """Close all connections."""
@@ -79,14 +79,14 @@
         request = {
             # The version each row must have, whatever the name suggests.
             "expectedRev": [
-                {**_name(key), "schemaVersion": version}
+                {**_key_fields(key), "schemaVersion": version}
                 for key, version in transaction.versions.items()
             ],
             "writes": [
-                {**_name(key), "value": base64.b64encode(value).decode()}
+                {**_key_fields(key), "value": base64.b64encode(value).decode()}
                 for key, value in transaction.writes.items()
             ],
-            "remove": [_name(key) for key in transaction.removes],
+            "remove": [_key_fields(key) for key in transaction.removes],
         }
         answer = await self._call("POST", "/rows-tx", body=orjson.dumps(request))
         if isinstance(answer, Err):
@@ -114,28 +114,28 @@
         It is asked again, for an answer at once, when another call finds that the
         connections have gone silent: all of them would else find it in turn.
         """
-        within_s = wait_s + WATCH_SLACK_S
-        asked = asyncio.ensure_future(self._feed(table, since, wait_s, within_s))
-        self._watching.add(asked)
+        timeout_s = wait_s + LONG_POLL_SLACK_S
+        asked = asyncio.ensure_future(self._feed(table, since, wait_s, timeout_s))
+        self._long_polls.add(asked)
         try:
             await asyncio.wait({asked})
         finally:
-            self._watching.discard(asked)
+            self._long_polls.discard(asked)
             asked.cancel()
         if asked.cancelled():
             # A slow store has the time of any other call.
-            return await self._feed(table, since, 0.0, CALL_S)
+            return await self._feed(table, since, 0.0, CALL_TIMEOUT_S)
         return asked.result()
 
     async def _feed(
-        self, table: str, since: int, wait_s: float, within_s: float
+        self, table: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[RowsRead, ChangesError]:
         query = {
             "table": table,
             "sinceRev": str(since),
             "waitMs": str(int(wait_s * 1000)),
         }
-        answer = await self._call("GET", "/rows-feed", query=query, within_s=within_s)
+        answer = await self._call("GET", "/rows-feed", query=query, timeout_s=timeout_s)
         if isinstance(answer, Err):
             return answer
         status, body = answer.ok_value
@@ -177,10 +177,10 @@
         path: str,
         query: dict[str, str] | None = None,
         body: bytes | None = None,
-        within_s: float = CALL_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> Result[tuple[int, bytes], StoreError]:
         headers = {"Content-Type": "application/json"} if path == "/rows-tx" else None
-        async with self._connections.used() as session:
+        async with self._connections.acquire() as session:
             try:
                 async with session.request(
                     method,
@@ -189,7 +189,7 @@
                     data=body,
                     headers=headers,
                     timeout=aiohttp.ClientTimeout(
-                        total=within_s, sock_connect=CONNECT_S
+                        total=timeout_s, sock_connect=CONNECT_TIMEOUT_S
                     ),
                     allow_redirects=False,
                 ) as response:
@@ -197,17 +197,17 @@
             except _NO_CONNECTION as error:
                 return Err(NotDone(f"no connection: {error}", reached=False))
             except LostOnTheWayError as error:
-                self._suspect(session)
+                self._retire(session)
                 return Err(Unknown(str(error), reached=False))
             except (aiohttp.ClientError, TimeoutError, OSError) as error:
-                self._suspect(session)
+                self._retire(session)
                 return Err(Unknown(type(error).__name__, reached=False))
 
-    def _suspect(self, session: aiohttp.ClientSession) -> None:
+    def _retire(self, session: aiohttp.ClientSession) -> None:
         """Leave the connections behind of which one gave a call no answer."""
-        if not self._connections.suspect(session):
+        if not self._connections.retire(session):
             return
-        for asked in self._watching:
+        for asked in self._long_polls:
             if asked is not asyncio.current_task():
                 asked.cancel()
 
@@ -217,7 +217,7 @@
     return NotDone(reason) if status in _NOT_DONE else Unknown(reason)
 
 
-def _name(key: RowKey) -> dict[str, Any]:
+def _key_fields(key: RowKey) -> dict[str, Any]:
     return {"table": key.table, "part": key.part, "key": key.key}
 
 
--- a/src/caperridge/store/http.py
+++ b/src/caperridge/store/http.py
@@ -171,7 +171,7 @@
                 allow_redirects=False,
             ) as response:
                 data = await response.read()
-                return _judge(response, data)
+                return _classify(response, data)
         except aiohttp.ClientConnectorError as error:
             reason = f"the platform was not reached: {error.strerror}"
             return Err(NotDone(reason, reached=False))
@@ -184,7 +184,7 @@
     return "/objects/" + quote(name)
 
 
-def _judge(
+def _classify(
     response: aiohttp.ClientResponse, data: bytes
 ) -> Result[tuple[int, bytes], Any]:
     if response.status in (200, 204, 206, _HTTP_ABSENT, _HTTP_CONFLICT):
--- a/src/caperridge/store/relay_wire.py
+++ b/src/caperridge/store/relay_wire.py
@@ -101,31 +101,33 @@
 
 
 @singledispatch
-def size_of(value: Any) -> int:
+def estimated_size(value: Any) -> int:
     """Return roughly how many bytes ``value`` takes in a message."""
     return 9
 
 
-@size_of.register
+@estimated_size.register
 def _(value: bytes) -> int:
     return len(value) + 5
 
 
-@size_of.register
+@estimated_size.register
 def _(value: str) -> int:
     return len(value) + 5
 
 
-@size_of.register
+@estimated_size.register
 def _(value: list) -> int:
-    return 5 + sum(size_of(item) for item in value)
+    return 5 + sum(estimated_size(item) for item in value)
 
 
-@size_of.register
+@estimated_size.register
 def _(value: dict) -> int:
-    return 5 + sum(size_of(key) + size_of(item) for key, item in value.items())
+    return 5 + sum(
+        estimated_size(key) + estimated_size(item) for key, item in value.items()
+    )
 
 
-@size_of.register
+@estimated_size.register
 def _(value: Record) -> int:
-    return size_of(value.to_map())
+    return estimated_size(value.to_map())
--- a/src/caperridge/store/settle.py
+++ b/src/caperridge/store/settle.py
@@ -22,8 +22,8 @@
     WriteError,
 )
 
-MOST_TRIES = 4
-PAUSE_S = 0.05
+MAX_ATTEMPTS = 4
+RETRY_DELAY_S = 0.05
 
 
 async def transact_settled(
@@ -31,7 +31,7 @@
     conditions: list[Condition],
     writes: list[Write],
     token: str,
-    tries: int = MOST_TRIES,
+    tries: int = MAX_ATTEMPTS,
 ) -> Result[Committed, WriteError]:
     """Transact, and turn an unknown outcome into a known one where possible.
 
@@ -47,7 +47,7 @@
     for number in range(tries - 1):
         if not doubtful:
             return outcome
-        await asyncio.sleep(PAUSE_S * 2**number)
+        await asyncio.sleep(RETRY_DELAY_S * 2**number)
         outcome = await platform.transact(conditions, writes, token)
         if isinstance(outcome, Ok):
             return outcome
@@ -59,7 +59,7 @@
 
 
 async def put_settled(
-    platform: Platform, name: str, data: bytes, tries: int = MOST_TRIES
+    platform: Platform, name: str, data: bytes, tries: int = MAX_ATTEMPTS
 ) -> Result[None, ReadError]:
     """Put an object, again if the answer was lost: the same bytes may be put twice.
 
@@ -73,7 +73,7 @@
     for number in range(tries - 1):
         if isinstance(outcome, Ok) or not isinstance(outcome.err_value, Unknown):
             return outcome
-        await asyncio.sleep(PAUSE_S * 2**number)
+        await asyncio.sleep(RETRY_DELAY_S * 2**number)
         outcome = await platform.put_object(name, data)
     return outcome
 
--- a/src/caperridge/targets/engine.py
+++ b/src/caperridge/targets/engine.py
@@ -48,7 +48,7 @@
         resume_from: offset of the first token still wanted.
         first_event_s: longest wait for the first event; None for the client's.
         between_events_s: longest wait between two events; None for the client's.
-        latest_s: when nobody wants a first event any more, from the start on.
+        max_wait_s: when nobody wants a first event any more, from the start on.
     """
 
     __slots__ = (
--- a/src/caperridge/targets/events.py
+++ b/src/caperridge/targets/events.py
@@ -29,7 +29,7 @@
     []
     >>> checker.feed(b'\n\ndata: [DONE]\n\n')
     [b'data: {"id":"r","attempt":"a","offset":0,"x":1}\n\n']
-    >>> checker.whole, checker.next_offset
+    >>> checker.received_done, checker.next_offset
     (True, 1)
     """
 
@@ -60,7 +60,7 @@
     def feed(self, data: bytes) -> list[bytes]:
         """Return the token events completed by ``data``, each with its separator.
 
-        At an event that is not ours or not the next one, ``wrong`` is set; those
+        At an event that is not ours or not the next one, ``wrong_event`` is set; those
         before it are returned, for they are good. What follows the closing mark is
         nobody's and ignored.
         """
--- a/src/caperridge/targets/listening.py
+++ b/src/caperridge/targets/listening.py
@@ -20,13 +20,13 @@
         await writer.wait_closed()
 
 
-async def is_refused(address: str, within_s: float = CONNECT_TIMEOUT_S) -> bool:
+async def is_refused(address: str, timeout_s: float = CONNECT_TIMEOUT_S) -> bool:
     """Return whether nothing listens at ``address`` any more, as its host says.
 
     A host that says nothing may be cut off, and its target live.
     """
     try:
-        async with asyncio.timeout(within_s):
+        async with asyncio.timeout(timeout_s):
             await connect(address)
     except ConnectionRefusedError:
         return True
--- a/src/caperridge/targets/orders.py
+++ b/src/caperridge/targets/orders.py
@@ -9,7 +9,7 @@
 from caperridge.decisions.reconcile import Loaded, Observed
 from caperridge.records import Record
 
-DEADLINE_S = 2.0
+CALL_TIMEOUT_S = 2.0
 MAX_LEASE_RATIO = 0.25  # a lease is renewed well before so little is left
 _HTTP_OK = 200
 _HTTP_CONFLICT = 409
@@ -43,7 +43,7 @@
     """
 
     def __init__(
-        self, deadline_s: float = DEADLINE_S, lease_s: float = math.inf
+        self, deadline_s: float = CALL_TIMEOUT_S, lease_s: float = math.inf
     ) -> None:
         self.deadline_s = min(deadline_s, lease_s * MAX_LEASE_RATIO)
         self._session: aiohttp.ClientSession | None = None
--- a/src/caperridge/targets/plain.py
+++ b/src/caperridge/targets/plain.py
@@ -9,8 +9,8 @@
 from caperridge.records import Record
 from caperridge.targets.outcomes import AttemptError, Lost, NotSent
 
-DEADLINE_S = 30.0
-CONNECT_S = 2.0
+CALL_TIMEOUT_S = 30.0
+CONNECT_TIMEOUT_S = 2.0
 MAX_ANSWER_BYTES = 16 * 2**20
 # What the library would add by itself; a service gets what its caller sent.
 AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
@@ -66,18 +66,18 @@
     Args:
         deadline_s: longest wait for a whole answer, in seconds.
         connect_s: longest wait for a connection.
-        most_answer_bytes: a longer body is an error.
+        max_answer_bytes: a longer body is an error.
     """
 
     def __init__(
         self,
-        deadline_s: float = DEADLINE_S,
-        connect_s: float = CONNECT_S,
-        most_answer_bytes: int = MAX_ANSWER_BYTES,
+        deadline_s: float = CALL_TIMEOUT_S,
+        connect_s: float = CONNECT_TIMEOUT_S,
+        max_answer_bytes: int = MAX_ANSWER_BYTES,
     ) -> None:
         self.deadline_s = deadline_s
         self._timeout = aiohttp.ClientTimeout(total=deadline_s, sock_connect=connect_s)
-        self._most_answer_bytes = most_answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
@@ -112,7 +112,7 @@
             ) as response:
                 body = await self._read_body(response)
                 if body is None:
-                    text = f"the answer has over {self._most_answer_bytes} bytes"
+                    text = f"the answer has over {self._max_answer_bytes} bytes"
                     return Err(AnswerTooLarge(text))
                 headers = CIMultiDict(response.headers)
                 return Ok(PlainAnswer(response.status, headers, body))
@@ -130,7 +130,7 @@
         size = 0
         async for piece in response.content.iter_any():
             size += len(piece)
-            if size > self._most_answer_bytes:
+            if size > self._max_answer_bytes:
                 return None
             pieces.append(piece)
         return b"".join(pieces)
--- a/tests/adapter/test_entries.py
+++ b/tests/adapter/test_entries.py
@@ -16,7 +16,7 @@
 from caperridge.gateway.jobs.codec import UnreadableError, from_bytes
 from caperridge.gateway.jobs.model import ItemProgress, ItemResult, JobEntry, JobHead
 from caperridge.gateway.targets import Target
-from caperridge.platform.dialect import MOST_SLOTS, PlatformDialect
+from caperridge.platform.dialect import MAX_SLOTS, PlatformDialect
 from caperridge.records import pack
 
 ENTRY: dict[str, Any] = {
@@ -95,7 +95,7 @@
     host, _, port = target.address.rpartition(":")
     return (
         type(target.slots) is int
-        and 1 <= target.slots <= MOST_SLOTS
+        and 1 <= target.slots <= MAX_SLOTS
         and type(target.draining) is bool
         and all(isinstance(one, str) and one for one in (target.id, target.service))
         and isinstance(target.availability_zone, str)
--- a/tests/batch/test_batch_machine.py
+++ b/tests/batch/test_batch_machine.py
@@ -196,7 +196,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(settle, "PAUSE_S", 0.0)
+    monkeypatch.setattr(settle, "RETRY_DELAY_S", 0.0)
 
 
 def test_batch_survives_any_order_of_faults() -> None:
--- a/tests/gateway/test_overdue_answers.py
+++ b/tests/gateway/test_overdue_answers.py
@@ -117,7 +117,7 @@
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Longer than any test waits, so only a hedged call can succeed.
-    monkeypatch.setattr(platform_store, "CALL_S", 60.0)
+    monkeypatch.setattr(platform_store, "CALL_TIMEOUT_S", 60.0)
     runner = await world.add_runner()
     instance = await world.add_instance()
     await world.ready()
--- a/tests/gateway/test_silent_connections.py
+++ b/tests/gateway/test_silent_connections.py
@@ -13,8 +13,8 @@
 from caperridge.gateway.process import INDEX_READ_INTERVAL_S, TICK_INTERVAL_S
 from caperridge.gateway.silent_sockets import KEEPALIVE_INTERVAL_S
 from caperridge.gateway.watcher import LONG_POLL_S, MIN_RETRY_DELAY_S
-from caperridge.platform.connections import UNACKNOWLEDGED_MS
-from caperridge.platform.store import CALL_S, WATCH_SLACK_S, HttpRowStore
+from caperridge.platform.connections import USER_TIMEOUT_MS
+from caperridge.platform.store import CALL_TIMEOUT_S, LONG_POLL_SLACK_S, HttpRowStore
 from gateway.conftest import ROUTES, World, free_address, until
 from gateway.silent_relay import SilentRelay
 
@@ -66,7 +66,7 @@
     await read_at_once(store, KEPT)
     assert store_way.opened == KEPT
     store_way.silence()
-    async with asyncio.timeout(CALL_S + SLACK_S):
+    async with asyncio.timeout(CALL_TIMEOUT_S + SLACK_S):
         while not isinstance(await store.read("op"), Ok):
             continue
 
@@ -78,8 +78,8 @@
     await read_at_once(store, 1)
     store_way.silence()
     lost = asyncio.ensure_future(store.read("op"))
-    await asyncio.sleep(CALL_S / 2)
-    watch = asyncio.ensure_future(store.changes("op", 1, CALL_S))
+    await asyncio.sleep(CALL_TIMEOUT_S / 2)
+    watch = asyncio.ensure_future(store.changes("op", 1, CALL_TIMEOUT_S))
     assert not isinstance(await lost, Ok)
     assert isinstance(await watch, Ok)
 
@@ -106,7 +106,7 @@
     second = asyncio.ensure_future(store.changes("op", 1, LONG_POLL_S))
     await until(lambda: store_way.opened == 2)
     store_way.silence()
-    world.store.delay_s = (WATCH_SLACK_S + CALL_S) / 2
+    world.store.delay_s = (LONG_POLL_SLACK_S + CALL_TIMEOUT_S) / 2
     assert not isinstance(await first, Ok)
     assert isinstance(await second, Ok)
 
@@ -134,7 +134,9 @@
     instance.reachability.on_recovered(returns.append)
     store_way.silence()
     # Whatever was asked before the silence has had its time by then.
-    await asyncio.sleep(LONG_POLL_S + WATCH_SLACK_S + INDEX_READ_INTERVAL_S + SLACK_S)
+    await asyncio.sleep(
+        LONG_POLL_S + LONG_POLL_SLACK_S + INDEX_READ_INTERVAL_S + SLACK_S
+    )
     assert len(returns) <= 1
     assert instance.reachability.reached
     version = 2
@@ -147,13 +149,13 @@
 ) -> None:
     """Loopback loses nothing, so what the system was asked to do is looked at."""
     await read_at_once(store, 1)
-    async with store._connections.used() as session:
+    async with store._connections.acquire() as session:
         assert session.connector is not None
         ((protocol, _),) = next(iter(session.connector._conns.values()))
         connection = protocol.transport.get_extra_info("socket")
         level = socket.IPPROTO_TCP
         limit_ms = connection.getsockopt(level, socket.TCP_USER_TIMEOUT)
-        assert limit_ms == UNACKNOWLEDGED_MS
+        assert limit_ms == USER_TIMEOUT_MS
         assert connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
         assert connection.getsockopt(level, socket.TCP_KEEPIDLE) == KEEPALIVE_INTERVAL_S
 
--- a/tests/online/test_fault_table.py
+++ b/tests/online/test_fault_table.py
@@ -47,7 +47,7 @@
 def patient(front: Front, monkeypatch: pytest.MonkeyPatch) -> None:
     """Have faults found by what they are, however slow this process is."""
     front.headers["Timeout"] = str(DEADLINE_S)
-    monkeypatch.setattr("caperridge.targets.engine.LONGEST_CONNECT_S", PATIENT_S)
+    monkeypatch.setattr("caperridge.targets.engine.MAX_CONNECT_S", PATIENT_S)
     policy = front.online.attempts.policy("chat")
     policy.first_event = AdaptiveTimeout(
         0.95, 3.0, PATIENT_S, 30.0, initial_s=PATIENT_S
--- a/tests/plain/test_keyed_machine.py
+++ b/tests/plain/test_keyed_machine.py
@@ -50,7 +50,7 @@
 
 def done(coroutine: Any) -> Any:
     """Run a coroutine that only awaits pauses of zero length."""
-    with patch.object(settle, "PAUSE_S", 0):
+    with patch.object(settle, "RETRY_DELAY_S", 0):
         while True:
             try:
                 coroutine.send(None)
--- a/tests/plain/test_no_hidden_repeat.py
+++ b/tests/plain/test_no_hidden_repeat.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 async def client() -> AsyncIterator[PlainClient]:
-    client = PlainClient(PATIENT_S, connect_s=PATIENT_S, most_answer_bytes=1000)
+    client = PlainClient(PATIENT_S, connect_s=PATIENT_S, max_answer_bytes=1000)
     yield client
     await client.close()
 
--- a/tests/plain/test_plain_items.py
+++ b/tests/plain/test_plain_items.py
@@ -30,7 +30,7 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(settle, "PAUSE_S", 0.0)
+    monkeypatch.setattr(settle, "RETRY_DELAY_S", 0.0)
     monkeypatch.setattr(plain_items, "STARTED_AHEAD", 3)
 
 
--- a/tests/store/test_platform_contract.py
+++ b/tests/store/test_platform_contract.py
@@ -78,7 +78,7 @@
 
 @pytest.fixture(autouse=True)
 async def rows(pair: Pair, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(settle, "PAUSE_S", 0.0)
+    monkeypatch.setattr(settle, "RETRY_DELAY_S", 0.0)
     memory = pair.memory
     await memory.transact([], [PutRow("row/a", {"n": 1, "s": "x"})], "token-a")
     await memory.put_object("object/a", b"0123456789")
--- a/tests/targets/test_engine_client.py
+++ b/tests/targets/test_engine_client.py
@@ -85,12 +85,12 @@
 class HeldCall:
     """A call of an engine that answers once it may, on a clock that stands still."""
 
-    def __init__(self, address: str, engine: Held, latest_s: float) -> None:
+    def __init__(self, address: str, engine: Held, max_wait_s: float) -> None:
         self.engine = engine
         self.clock = LoopClock(still=True)
         self._client = EngineClient()
         self._attempt = Attempt(
-            "r", "a", address, "/v1/completions", {}, 0, FIRST_S, FIRST_S, latest_s
+            "r", "a", address, "/v1/completions", {}, 0, FIRST_S, FIRST_S, max_wait_s
         )
 
     async def _read(self) -> list[bytes]:
@@ -115,11 +115,11 @@
 ) -> AsyncIterator[Callable[[float], Awaitable[HeldCall]]]:
     calls: list[HeldCall] = []
 
-    async def call(latest_s: float) -> HeldCall:
+    async def call(max_wait_s: float) -> HeldCall:
         engine = Held()
         app = web.Application()
         app.router.add_post("/v1/completions", engine.complete)
-        calls.append(HeldCall(await listen(app), engine, latest_s))
+        calls.append(HeldCall(await listen(app), engine, max_wait_s))
         return calls[-1]
 
     yield call
