--- a/src/caperridge/platform/__init__.py
+++ b/src/caperridge/platform/__init__.py
@@ -1,5 +1,4 @@
-"""The adapter to the users' platform: its store, its words and its wire.
+"""Adapter to the users' platform: its store, its vocabulary and its wire format.
 
-Nothing outside this folder knows what the platform calls things; each name is decoded
-once, here, into types of the product.
+Only this package uses the platform's names; it decodes them into the product's types.
 """
--- a/src/caperridge/platform/connections.py
+++ b/src/caperridge/platform/connections.py
@@ -1,8 +1,8 @@
-"""Connections to the store that are kept between calls, and given up together.
+"""Connection pool of the store client, replaced as a whole after a lost answer.
 
-A kept connection may have gone silent without a reset, and so may all others that were
-open at that moment. Each would cost the next call its whole time-out, so after a call
-without an answer the idle ones are left behind; new ones are opened.
+A keep-alive connection may have stopped responding without a reset, and so may all
+others that were open at that moment. Each would cost the next call its whole timeout,
+so after a call without an answer no further call uses them; new ones are opened.
 """
 
 import contextlib
@@ -14,16 +14,17 @@
 from caperridge.gateway.silent_sockets import enable_keepalive, set_user_timeout
 from caperridge.no_repeat import loss_is_final
 
-# Instances with work call several times a second; an idle connection costs little.
+# Busy instances call several times per second; an idle connection costs little.
 KEEPALIVE_TIMEOUT_S = 20
-# The store acknowledges within some milliseconds, however long its answer takes.
+# The store's host acknowledges data within milliseconds, even if the answer takes
+# longer.
 USER_TIMEOUT_MS = 1000
 
 
 class SessionPool:
-    """Gives out sessions of the HTTP library; one at a time is current.
+    """Hands out sessions of the HTTP library; new calls use the current one.
 
-    An earlier one lives until its last call has ended.
+    A retired session is closed when its last call has finished.
     """
 
     def __init__(self) -> None:
@@ -32,7 +33,7 @@
 
     @contextlib.asynccontextmanager
     async def acquire(self) -> AsyncIterator[aiohttp.ClientSession]:
-        """Give the current session for one call."""
+        """Yield the current session for one call."""
         session = self._current
         if session is None:
             session = self._current = _make_session()
@@ -44,10 +45,10 @@
             await self._release(session)
 
     def retire(self, session: aiohttp.ClientSession) -> bool:
-        """Give no more calls to ``session``: one of its calls got no answer.
+        """Use ``session`` for no further calls, as one of its calls got no answer.
 
         Returns:
-            whether it was the current one, so that nobody knew of it yet.
+            False if it had been retired before.
         """
         if self._current is not session:
             return False
@@ -83,7 +84,7 @@
 
 def _make_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = address
-    made = socket.socket(family, kind, protocol)
-    set_user_timeout(made, USER_TIMEOUT_MS)
-    enable_keepalive(made)
-    return made
+    created = socket.socket(family, kind, protocol)
+    set_user_timeout(created, USER_TIMEOUT_MS)
+    enable_keepalive(created)
+    return created
--- a/src/caperridge/platform/dialect.py
+++ b/src/caperridge/platform/dialect.py
@@ -1,7 +1,7 @@
-"""The platform's words for requests, configuration, targets and jobs.
+"""Decoder and encoder of the platform's requests, configuration, targets and jobs.
 
-Some of its names serve several calls and say little there; a comment beside a field
-tells what it holds.
+Some of its names are shared by several calls and are misleading in one of them; a
+comment at such a field states its meaning.
 """
 
 import base64
@@ -34,10 +34,11 @@
 _MISDIRECTED = 421
 _READY = "ready"
 _DRAINING = "draining"
-# No engine batches nearly as many; an entry that says so would draw all requests.
+# Far more than any engine runs at once; a target with a larger number in its entry
+# would attract all requests.
 MAX_SLOTS = 10_000
 MAX_INTEGER = 2**63 - 1
-# What reading a field of another type or shape raises.
+# Raised when a field is missing or has another type or shape than expected.
 _DECODE_ERRORS = (
     ValueError,
     LookupError,
@@ -53,7 +54,7 @@
     headers = HeaderNames(
         request="X-Request-Id",
         deadline="X-Deadline-Ms",
-        incarnation="X-Expect-Instance",  # a target's id, not one of our instances
+        incarnation="X-Expect-Instance",  # id of a target, not of an instance
         not_run="X-Not-Executed",
         signature="X-Response-Stamp",
         resume="Last-Event-Id",
@@ -104,7 +105,7 @@
             slots=fields.integer("slots", 1, MAX_SLOTS),
             draining=fields.choice("state", (_READY, _DRAINING)) == _DRAINING,
         )
-        # Not used here, but an entry without them was not written by a target.
+        # Unused, but an entry without these fields was not written by a target.
         fields.text("version")
         fields.number("coldLeftMs")
         fields.integer("seq", 0, MAX_INTEGER)
@@ -113,7 +114,7 @@
         return target.replace(id=incarnation_id(name, born)) if born else target
 
     def _born(self, fields: Fields) -> int:
-        """Return when a target started, in ms; 0 if it does not say."""
+        """Return the start time of a target, in ms; 0 if it is not given."""
         return fields.integer("born", 1, MAX_INTEGER) if "born" in fields else 0
 
     def load(self, body: bytes) -> TargetLoad:
@@ -145,7 +146,7 @@
         answer = {
             "total": page.total,
             "results": results,
-            # The position after the last one listed here.
+            # The position after the last result of this page.
             "nextToken": page.first + len(results),
         }
         return orjson.dumps(answer)
--- a/src/caperridge/platform/serve.py
+++ b/src/caperridge/platform/serve.py
@@ -1,4 +1,4 @@
-"""Starts one instance on the users' platform."""
+"""Entry point of an instance on the users' platform."""
 
 import asyncio
 import os
@@ -20,7 +20,10 @@
 
 
 def main() -> None:
-    """Run until SIGTERM; exits with 3 and every finding if the settings are wrong."""
+    """Run until SIGTERM or SIGINT.
+
+    Exits with status 3 and prints all findings if the settings are invalid.
+    """
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
         settings = load(Path(path))
@@ -32,7 +35,7 @@
 
 
 def _reload(instance: GatewayInstance, path: Path) -> None:
-    """Read the settings again; findings leave those in force."""
+    """Reload the settings; if they are invalid, the current ones stay in force."""
     try:
         settings = load(path)
     except FindingsError as error:
@@ -49,7 +52,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, instance, path)
-    # The program keeps it back until now; one that came meanwhile is handled.
+    # The program blocks SIGHUP until its handler is set; a pending one is handled now.
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     await instance.start()
     await stop.wait()
--- a/src/caperridge/platform/store.py
+++ b/src/caperridge/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as rows and objects, over HTTP."""
+"""HTTP client of the platform's store: transactional rows, changes and objects."""
 
 import asyncio
 import base64
@@ -25,17 +25,17 @@
 from caperridge.platform.connections import SessionPool
 from caperridge.store.interface import NotDone, Unknown
 
-# The store answers in 4 to 25 ms; slow days take 60 times as long.
+# The store answers in 4 to 25 ms, but up to 60 times slower on bad days.
 CALL_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 0.5
-# A watch whose answer is this late has a dead connection.
+# A long poll whose answer is overdue by this time has a dead connection.
 LONG_POLL_SLACK_S = 0.7
 _NOT_DONE = frozenset({429, 503, 507})
 _NO_CONNECTION = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
 class HttpRowStore(RowStore):
-    """Calls the store directly.
+    """Calls the store over this instance's own connections.
 
     Args:
         address: ``IP:PORT`` of the store.
@@ -63,7 +63,7 @@
         if first:
             query["from"] = first
         if end:
-            query["targetVersion"] = end  # the store's name for the key after the last
+            query["targetVersion"] = end  # the store's name for the exclusive end key
         answer = await self._call("GET", "/rows-get", query=query)
         if isinstance(answer, Err):
             return answer
@@ -77,7 +77,7 @@
     ) -> Result[Done, TransactionError]:
         """See :meth:`RowStore.transact`."""
         request = {
-            # The version each row must have, whatever the name suggests.
+            # Despite its name, this holds rows with the version that each must have.
             "expectedRev": [
                 {**_key_fields(key), "schemaVersion": version}
                 for key, version in transaction.versions.items()
@@ -111,21 +111,22 @@
     ) -> Result[RowsRead, ChangesError]:
         """See :meth:`RowStore.changes`.
 
-        It is asked again, for an answer at once, when another call finds that the
-        connections have gone silent: all of them would else find it in turn.
+        The long poll is cancelled and repeated as a short call when another call
+        finds that the connections no longer respond; otherwise each long poll would
+        wait for its own timeout.
         """
         timeout_s = wait_s + LONG_POLL_SLACK_S
-        asked = asyncio.ensure_future(self._feed(table, since, wait_s, timeout_s))
-        self._long_polls.add(asked)
+        poll = asyncio.ensure_future(self._feed(table, since, wait_s, timeout_s))
+        self._long_polls.add(poll)
         try:
-            await asyncio.wait({asked})
+            await asyncio.wait({poll})
         finally:
-            self._long_polls.discard(asked)
-            asked.cancel()
-        if asked.cancelled():
-            # A slow store has the time of any other call.
+            self._long_polls.discard(poll)
+            poll.cancel()
+        if poll.cancelled():
+            # The store may be slow: the repeated call gets the timeout of any other.
             return await self._feed(table, since, 0.0, CALL_TIMEOUT_S)
-        return asked.result()
+        return poll.result()
 
     async def _feed(
         self, table: str, since: int, wait_s: float, timeout_s: float
@@ -204,12 +205,12 @@
                 return Err(Unknown(type(error).__name__, reached=False))
 
     def _retire(self, session: aiohttp.ClientSession) -> None:
-        """Leave the connections behind of which one gave a call no answer."""
+        """Retire the connections of ``session`` and cancel the other long polls."""
         if not self._connections.retire(session):
             return
-        for asked in self._long_polls:
-            if asked is not asyncio.current_task():
-                asked.cancel()
+        for poll in self._long_polls:
+            if poll is not asyncio.current_task():
+                poll.cancel()
 
 
 def _refusal(status: int) -> StoreError:
--- a/src/caperridge/store/__init__.py
+++ b/src/caperridge/store/__init__.py
@@ -1,1 +1,1 @@
-"""The narrow interface to the platform and its HTTP adapter."""
+"""Interface to the platform's table, objects and member list, with HTTP client."""
--- a/src/caperridge/store/http.py
+++ b/src/caperridge/store/http.py
@@ -1,7 +1,7 @@
-"""The platform over HTTP: one adapter, to be replaced where the protocol differs.
+"""HTTP client of the platform; replaceable where its protocol differs.
 
-A connection error before the request was sent is *not done*. Once bytes may have
-left, only an answer tells; without one a write is *unknown*.
+A connection error before the request was sent is *not done*. Once bytes may have been
+sent, only an answer shows the outcome; without one a write is *unknown*.
 """
 
 from ssl import SSLContext
@@ -39,10 +39,10 @@
 
     Args:
         endpoint: e.g. ``http://10.0.0.5:7000``.
-        availability_zone: sent along, so that the platform knows who asks.
-        secret: bearer token towards the platform; empty for none.
-        deadline_s: longest wait for one call, in seconds.
-        authority: file of the certificates to trust; empty for the system's.
+        availability_zone: of the instance; sent as a header of each call.
+        secret: bearer token for the platform; empty for none.
+        deadline_s: timeout of one call, in seconds.
+        authority: file with the trusted CA certificates; empty for the system's.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         if secret:
             self._headers["Authorization"] = f"Bearer {secret}"
         self._timeout = aiohttp.ClientTimeout(total=deadline_s)
-        # Made at the start: reading files is no work for the event loop.
+        # Created here, before the event loop serves: it reads files, which blocks.
         secure = endpoint.startswith("https:")
         self._ssl: SSLContext | bool = client_context(authority) if secure else True
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -155,7 +155,8 @@
         headers: dict[str, str] | None = None,
     ) -> Result[tuple[int, bytes], Any]:
         if self._session is None:
-            # One attempt only: the library must not repeat a write by itself.
+            # The middleware makes a lost connection final: the library must not repeat
+            # a write by itself.
             connector = aiohttp.TCPConnector(limit=64, ssl=self._ssl)
             self._session = aiohttp.ClientSession(
                 timeout=self._timeout,
--- a/src/caperridge/store/interface.py
+++ b/src/caperridge/store/interface.py
@@ -1,9 +1,9 @@
-"""The few calls through which everything that lasts is reached.
+"""Interface to durable state: a transactional table, objects and a member list.
 
-Rows have a string key, a map of fields, and a version that the platform raises on
-each write. A transaction checks its conditions and applies its writes together or
-not at all. Every call has a deadline and one of three outcomes: done, not done, or
-unknown (the platform may have applied it; see :mod:`caperridge.store.settle`).
+Rows have a string key, a map of fields, and a version that the platform increments on
+each write. A transaction checks its conditions and applies its writes atomically. Each
+call has a timeout and one of three outcomes: done, not done, or unknown (the platform
+may have applied it; see :mod:`caperridge.store.settle`).
 """
 
 from abc import ABC, abstractmethod
@@ -15,13 +15,13 @@
 
 
 class Row(Record):
-    """One row as read.
+    """One row of the table.
 
     Attributes:
-        key: its name, with ``/`` between the parts, e.g. ``job/J1``.
-        value: its fields.
-        version: 1 on the first write, one more on each later write.
-        token: the write token of the transaction that wrote it last.
+        key: its key, with ``/`` between the parts, e.g. ``job/J1``.
+        value: its fields by name.
+        version: 1 after the first write, incremented by each later write.
+        token: write token of the last transaction that wrote it.
     """
 
     __slots__ = ("key", "token", "value", "version")
@@ -36,7 +36,7 @@
 
 
 class RowAbsent(Record):
-    """Holds if no row has this key."""
+    """True if no row has this key."""
 
     __slots__ = ("key",)
 
@@ -45,7 +45,7 @@
 
 
 class RowVersion(Record):
-    """Holds if the row is there with exactly this version."""
+    """True if the row exists and has exactly this version."""
 
     __slots__ = ("key", "version")
 
@@ -55,7 +55,7 @@
 
 
 class FieldEquals(Record):
-    """Holds if the row is there and this field has this value."""
+    """True if the row exists and this field has this value."""
 
     __slots__ = ("field", "key", "value")
 
@@ -66,7 +66,7 @@
 
 
 class PutRow(Record):
-    """Replaces the row's fields by ``value``."""
+    """Creates the row or replaces all its fields with ``value``."""
 
     __slots__ = ("key", "value")
 
@@ -76,9 +76,9 @@
 
 
 class SetFields(Record):
-    """Sets these fields of the row, which must exist, and leaves the others.
+    """Sets these fields of an existing row and leaves its other fields.
 
-    A transaction whose row is absent is refused with :class:`Conflict`.
+    If the row is absent, the transaction fails with :class:`Conflict`.
     """
 
     __slots__ = ("fields", "key")
@@ -89,7 +89,7 @@
 
 
 class DeleteRow(Record):
-    """Removes the row if it is there."""
+    """Deletes the row if it exists."""
 
     __slots__ = ("key",)
 
@@ -102,7 +102,7 @@
 
 
 class Committed(Record):
-    """The transaction took effect; ``versions_by_key`` has each row written."""
+    """The transaction was applied; ``versions_by_key`` has each row written."""
 
     __slots__ = ("versions_by_key",)
 
@@ -111,7 +111,7 @@
 
 
 class Conflict(Record):
-    """Not done: these conditions did not hold. ``rows_by_key`` shows their rows."""
+    """Not done: conditions on ``failed_keys`` failed; ``rows_by_key`` has the rows."""
 
     __slots__ = ("failed_keys", "rows_by_key")
 
@@ -126,9 +126,9 @@
     """Not done: the platform was not reached, or refused before any effect.
 
     Attributes:
-        reason: a sentence for a person.
-        retry_after_s: when to ask again, in seconds; 0 if it gave none.
-        reached: whether the platform itself said so.
+        reason: human-readable explanation.
+        retry_after_s: delay before a retry, in seconds; 0 if none was given.
+        reached: whether the platform itself refused the call.
     """
 
     __slots__ = ("reached", "reason", "retry_after_s")
@@ -142,11 +142,11 @@
 
 
 class Unknown(Record):
-    """The answer was lost; the effect may or may not have happened or yet happen.
+    """The answer was lost; the call may have taken effect, or may still take effect.
 
     Attributes:
-        reason: a sentence for a person.
-        reached: whether the platform gave any sign of life.
+        reason: human-readable explanation.
+        reached: whether the platform responded at all.
     """
 
     __slots__ = ("reached", "reason")
@@ -157,17 +157,17 @@
 
 
 class ListedMember(Record):
-    """One entry of the platform's list, which lags behind reality.
+    """One entry of the platform's member list, which is updated with a delay.
 
     Attributes:
-        id: unique among members; a replaced machine may reuse it.
+        id: unique among members; the replacement of a machine may reuse it.
         kind: ``instance`` or ``target``.
-        address: ``host:port`` of its main listener (peers for an instance).
-        availability_zone: where it runs.
+        address: ``host:port`` of its main listener (that for peers of an instance).
+        availability_zone: the availability zone in which it runs.
         region: the region of that availability zone.
         state: ``live`` or ``leaving``.
         service: the service a target belongs to; empty for an instance.
-        incarnation: raised when the machine behind the id is replaced.
+        incarnation: incremented when the machine of this id is replaced.
     """
 
     __slots__ = (
@@ -207,39 +207,40 @@
 
 
 class Platform(ABC):
-    """The table service, the object store and the list of members."""
+    """The table service, the object store and the member list."""
 
     @abstractmethod
     async def transact(
         self, conditions: list[Condition], writes: list[Write], token: str
     ) -> Result[Committed, WriteError]:
-        """Apply ``writes`` together if every condition holds.
+        """Apply ``writes`` atomically if all conditions are true.
 
         Args:
-            conditions: checked first, all of them.
-            writes: applied in order; a key appears once.
-            token: kept with each row written, so that a lost answer can be settled.
+            conditions: all are checked before the first write.
+            writes: applied in order; at most one per key.
+            token: stored with each row written; identifies this transaction's writes
+                after a lost answer.
         """
 
     @abstractmethod
     async def read(self, keys: list[str]) -> Result[dict[str, Row], ReadError]:
-        """Return the rows that exist among ``keys``, by key, as of one moment."""
+        """Return the existing rows among ``keys`` by key, as one snapshot."""
 
     @abstractmethod
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[list[Row], ReadError]:
-        """Return up to ``limit`` rows with ``prefix`` and a key above ``after``."""
+        """Return up to ``limit`` rows with ``prefix``, by key, after ``after``."""
 
     @abstractmethod
     async def put_object(self, name: str, data: bytes) -> Result[None, ReadError]:
-        """Store ``data`` whole under ``name``, replacing what was there."""
+        """Create or replace the object ``name`` with ``data``."""
 
     @abstractmethod
     async def get_object(
         self, name: str, start: int = 0, length: int | None = None
     ) -> Result[bytes | None, ReadError]:
-        """Return the object's bytes from ``start``, or None if there is none."""
+        """Return ``length`` bytes of the object from ``start``; None if absent."""
 
     @abstractmethod
     async def list_objects(
@@ -249,8 +250,8 @@
 
     @abstractmethod
     async def delete_object(self, name: str) -> Result[None, ReadError]:
-        """Remove the object if it is there."""
+        """Delete the object if it exists."""
 
     @abstractmethod
     async def members(self) -> Result[list[ListedMember], ReadError]:
-        """Return the list of live and leaving members as the platform knows it."""
+        """Return the platform's current list of live and leaving members."""
--- a/src/caperridge/store/relay.py
+++ b/src/caperridge/store/relay.py
@@ -1,8 +1,8 @@
-"""The platform, directly or, while this instance is cut off from it, through a peer.
+"""Failover of platform calls to a relay through a peer during a network partition.
 
-What is said of an outcome stays true: a call that may have left is *unknown* unless an
-answer came. Only a call that certainly had no effect, or may be repeated without harm,
-is tried again the other way.
+The reported outcomes stay correct: a call that may have been sent is *unknown* unless
+an answer was received. A call is tried on the other path only if it certainly had no
+effect or is safe to repeat.
 """
 
 import asyncio
@@ -33,23 +33,23 @@
 
 
 class RelayTransport(ABC):
-    """Calls the platform through some peer."""
+    """Sends platform calls through a peer."""
 
     @abstractmethod
     async def call(self, method: str, arguments: dict[str, Any]) -> Result[Any, Any]:
-        """Return the outcome; ``NotDone`` if there was nobody to ask."""
+        """Return the outcome; ``NotDone`` if no peer could be asked."""
 
     @abstractmethod
     def set_needed(self, cut_off: bool) -> None:
-        """Learn whether relaying is needed, so as to keep streams for it."""
+        """Set whether calls are relayed now, so that streams to peers are kept open."""
 
 
 class RelayedPlatform(Platform):
-    """Tries the direct way, then a peer.
+    """Calls the platform directly, or through a peer if it is unreachable.
 
     Args:
-        direct: the platform as this instance reaches it.
-        clock: monotonic seconds.
+        direct: the platform over this instance's own connections.
+        clock: monotonic time, in seconds.
     """
 
     def __init__(self, direct: Platform, clock: Callable[[], float]) -> None:
@@ -64,7 +64,7 @@
     async def transact(
         self, conditions: list[Condition], writes: list[Write], token: str
     ) -> Result[Committed, WriteError]:
-        """See :meth:`Platform.transact`; never sent twice in one call."""
+        """See :meth:`Platform.transact`; sent at most once per call."""
         arguments = {
             "conditions": [encode(condition) for condition in conditions],
             "writes": [encode(write) for write in writes],
@@ -91,7 +91,7 @@
         )
 
     async def put_object(self, name: str, data: bytes) -> Result[None, ReadError]:
-        """See :meth:`Platform.put_object`; the same bytes may be put twice."""
+        """See :meth:`Platform.put_object`; safe to repeat with the same bytes."""
         arguments = {"name": name, "data": data}
         return await self._call(
             "put_object", arguments, lambda: self.direct.put_object(name, data)
@@ -130,7 +130,7 @@
         return await self._call("members", {}, lambda: self.direct.members())
 
     async def close(self) -> None:
-        """End the probe that may be under way."""
+        """Cancel the running probe, if any."""
         if self._probe is not None:
             self._probe.cancel()
             await asyncio.gather(self._probe, return_exceptions=True)
@@ -155,7 +155,7 @@
         if was_cut_off or _reached(outcome):
             return outcome
         if not (repeatable or _certainly_not_sent(outcome)):
-            # It may have taken effect: the caller settles that, by the relay then.
+            # It may have taken effect: the caller settles that, now through the relay.
             return outcome
         relayed = await self._relay(method, arguments)
         return outcome if _certainly_not_sent(relayed) else relayed
@@ -176,12 +176,12 @@
         if cut_off:
             log.warning("the platform is not reached: relaying through peers")
         else:
-            log.info("the platform is reached again")
+            log.info("the platform is reachable again")
         if self.transport is not None:
             self.transport.set_needed(cut_off)
 
     def _probe_if_due(self) -> None:
-        """Find out, beside the calls, whether the direct way is open again."""
+        """Probe the direct path in the background, at most once per interval."""
         if self._clock() < self._probe_due:
             return
         if self._probe is not None and not self._probe.done():
@@ -194,7 +194,7 @@
 
 
 def _reached(outcome: Result[Any, Any]) -> bool:
-    """Return whether the platform gave any sign of life."""
+    """Return whether the platform responded at all."""
     if isinstance(outcome, Ok):
         return True
     error = outcome.err_value
@@ -202,7 +202,7 @@
 
 
 def _certainly_not_sent(outcome: Result[Any, Any]) -> bool:
-    """Return whether the call certainly came nowhere near the platform."""
+    """Return whether the call certainly did not reach the platform."""
     if isinstance(outcome, Ok):
         return False
     error = outcome.err_value
--- a/src/caperridge/store/relay_wire.py
+++ b/src/caperridge/store/relay_wire.py
@@ -1,4 +1,4 @@
-"""How platform calls and their outcomes look in the messages of a relay."""
+"""Encoding of platform calls and their outcomes in relay messages."""
 
 from functools import singledispatch
 from typing import Any
@@ -30,16 +30,16 @@
 
 
 class RelayError(Exception):
-    """A relayed call or its outcome cannot be understood."""
+    """A relayed call or its outcome is invalid."""
 
 
 async def perform(
     platform: Platform, method: str, arguments: dict[str, Any]
 ) -> Result[Any, Any]:
-    """Make the call that a peer asked for.
+    """Execute a call on behalf of a peer.
 
     Raises:
-        RelayError: there is no such call, or its arguments do not fit.
+        RelayError: the method is unknown, or its arguments are invalid.
     """
     if method not in METHODS:
         raise RelayError(f"there is no call {method!r}")
@@ -57,7 +57,7 @@
 
 
 def encode_outcome(outcome: Result[Any, Any]) -> tuple[str, Any]:
-    """Return the outcome's class and its value, ready for msgpack."""
+    """Return the name of the outcome's class and its value, ready for msgpack."""
     if isinstance(outcome, Ok):
         return OK, outcome.ok_value
     error: Record = outcome.err_value
@@ -65,10 +65,10 @@
 
 
 def decode_outcome(method: str, outcome: str, value: Any) -> Result[Any, Any]:
-    """Return the outcome that :func:`encode_outcome` told of.
+    """Return the outcome that :func:`encode_outcome` encoded.
 
     Raises:
-        RelayError: it makes no sense.
+        RelayError: the class is unknown or the value is invalid.
     """
     try:
         if outcome == OK:
@@ -102,7 +102,7 @@
 
 @singledispatch
 def estimated_size(value: Any) -> int:
-    """Return roughly how many bytes ``value`` takes in a message."""
+    """Return the approximate size of ``value`` in a message, in bytes."""
     return 9
 
 
--- a/src/caperridge/store/settle.py
+++ b/src/caperridge/store/settle.py
@@ -1,9 +1,9 @@
-"""Settling a transaction whose answer was lost.
+"""Idempotent retries of transactions and object writes whose answer was lost.
 
-The same transaction is sent again. If the first one had not taken effect the second
-one does, or conflicts for a true reason; if it had, its rows carry the write token,
-which a read shows. Either way the writes happen at most once, provided that each
-transaction has a condition that its own effect makes false.
+The same transaction is sent again. If the first attempt had no effect, the second is
+applied or has a genuine conflict. If the first was applied, the second conflicts, and a
+read finds the write token in its rows. The writes are applied at most once, provided
+that each transaction has a condition that its own writes make false.
 """
 
 import asyncio
@@ -33,19 +33,19 @@
     token: str,
     tries: int = MAX_ATTEMPTS,
 ) -> Result[Committed, WriteError]:
-    """Transact, and turn an unknown outcome into a known one where possible.
+    """Transact, and resolve an unknown outcome where possible.
 
     Args:
-        platform: where to.
+        platform: the platform to write to.
         conditions: at least one must be made false by ``writes``.
-        writes: at least one must leave its row in place, to carry the token.
+        writes: at least one must not delete its row, which then has the token.
         token: unique to this change.
-        tries: how often the platform is asked before the outcome stays unknown.
+        tries: maximum number of attempts before the outcome stays unknown.
     """
     outcome = await platform.transact(conditions, writes, token)
-    doubtful = isinstance(outcome, Err) and isinstance(outcome.err_value, Unknown)
+    in_doubt = isinstance(outcome, Err) and isinstance(outcome.err_value, Unknown)
     for number in range(tries - 1):
-        if not doubtful:
+        if not in_doubt:
             return outcome
         await asyncio.sleep(RETRY_DELAY_S * 2**number)
         outcome = await platform.transact(conditions, writes, token)
@@ -53,7 +53,7 @@
             return outcome
         if isinstance(outcome.err_value, Conflict):
             return await _read_back(platform, writes, token, outcome)
-        # A refusal now says nothing of the first try, which is still in doubt.
+        # A refusal of this attempt leaves the outcome of the first one unknown.
         outcome = Err(Unknown("the platform's answer was lost"))
     return outcome
 
@@ -61,13 +61,14 @@
 async def put_settled(
     platform: Platform, name: str, data: bytes, tries: int = MAX_ATTEMPTS
 ) -> Result[None, ReadError]:
-    """Put an object, again if the answer was lost: the same bytes may be put twice.
+    """Put an object, and retry if the answer was lost.
 
     Args:
-        platform: where to.
-        name: of the object, which only this content is ever put under.
+        platform: the platform to write to.
+        name: of the object; never used for other content, so that putting it twice
+            is harmless.
         data: its bytes.
-        tries: how often the platform is asked before the outcome stays unknown.
+        tries: maximum number of attempts before the outcome stays unknown.
     """
     outcome = await platform.put_object(name, data)
     for number in range(tries - 1):
--- a/src/caperridge/store/wire.py
+++ b/src/caperridge/store/wire.py
@@ -1,4 +1,4 @@
-"""How platform calls look in HTTP bodies, for the adapter and the stand-in alike."""
+"""Encoding of conditions, writes and rows in HTTP bodies and relay messages."""
 
 from typing import Any
 
@@ -26,28 +26,28 @@
 
 
 def encode(part: Condition | Write) -> dict[str, Any]:
-    """Return a condition or write as a map with its kind under ``is``."""
+    """Return a condition or write as a map, with its kind in the field ``is``."""
     return {"is": _NAMES_BY_CLASS[type(part)], **part.to_map()}
 
 
 def decode_condition(fields: dict[str, Any]) -> Condition:
-    """Return the condition that :func:`encode` made ``fields`` of.
+    """Return the condition that :func:`encode` encoded.
 
     Raises:
-        KeyError: its kind is not known.
+        KeyError: the kind is unknown.
     """
     return _CONDITIONS_BY_NAME[fields["is"]].from_map(fields)
 
 
 def decode_write(fields: dict[str, Any]) -> Write:
-    """Return the write that :func:`encode` made ``fields`` of.
+    """Return the write that :func:`encode` encoded.
 
     Raises:
-        KeyError: its kind is not known.
+        KeyError: the kind is unknown.
     """
     return _WRITES_BY_NAME[fields["is"]].from_map(fields)
 
 
 def decode_row(fields: dict[str, Any]) -> Row:
-    """Return the row of its map."""
+    """Return the row encoded as a map of its fields."""
     return Row.from_map(fields)
--- a/src/caperridge/targets/__init__.py
+++ b/src/caperridge/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of what does the work: model engines and plain services."""
+"""HTTP clients of targets: model engines and plain services."""
--- a/src/caperridge/targets/engine.py
+++ b/src/caperridge/targets/engine.py
@@ -1,7 +1,7 @@
-"""The client of a model engine: streams with checked events, and cancels.
+"""HTTP client of model engines: streams server-sent events and cancels attempts.
 
-Every answer is taken as a stream, also where the caller wants it whole: a stream can
-be resumed from its offset when the engine is lost or batch has to yield.
+Each answer is requested as a stream, even if the caller wants it in one piece: a stream
+can be resumed from its offset when the engine is lost or a batch item is preempted.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 from caperridge.targets.silence import IdleTimeouts
 
 MAX_CONNECT_S = 1.0
-CONNECT_TIMEOUT_RATIO = 0.8  # of the time for the first event
+CONNECT_TIMEOUT_RATIO = 0.8  # of the remaining time for the first event
 
 
 class AttemptFailed(Exception):  # noqa: N818 - read as "attempt failed"
-    """One attempt failed; ``error`` says how."""
+    """One attempt failed; ``error`` is the reason."""
 
     def __init__(self, error: AttemptError) -> None:
         super().__init__(error.reason)
@@ -45,10 +45,10 @@
         address: ``host:port`` of the engine.
         path: e.g. ``/v1/chat/completions``.
         body: the request, without the fields that concern the stream.
-        resume_from: offset of the first token still wanted.
-        first_event_s: longest wait for the first event; None for the client's.
-        between_events_s: longest wait between two events; None for the client's.
-        max_wait_s: when nobody wants a first event any more, from the start on.
+        resume_from: offset of the first token to send.
+        first_event_s: timeout of the first event; None for the client's default.
+        between_events_s: timeout between two events; None for the client's default.
+        max_wait_s: longest wait for the first event, pauses of this process included.
     """
 
     __slots__ = (
@@ -87,11 +87,11 @@
 
 
 class EngineClient:
-    """Talks to engines; one for each instance.
+    """HTTP client of all engines; one per instance.
 
     Args:
-        first_event_s: longest wait for the first event, in seconds.
-        between_events_s: longest wait between two events.
+        first_event_s: default timeout of the first event, in seconds.
+        between_events_s: default timeout between two events, in seconds.
     """
 
     def __init__(
@@ -100,29 +100,29 @@
         self._first_event_s = first_event_s
         self._between_events_s = between_events_s
         self._session: aiohttp.ClientSession | None = None
-        self._silence = IdleTimeouts()
+        self._idle_timeouts = IdleTimeouts()
         self._pauses = PauseMonitor()
 
     async def close(self) -> None:
         """Close all connections."""
-        self._silence.close()
+        self._idle_timeouts.close()
         self._pauses.close()
         if self._session is not None:
             await self._session.close()
 
     def _open(self) -> aiohttp.ClientSession:
         if self._session is None:
-            # A connection serves one request: a late answer finds nobody, and the
-            # library has no kept-alive connection on which it would repeat a call.
+            # One request per connection: a late answer can't reach a later request,
+            # and the library has no stale connection on which to repeat a call.
             connector = aiohttp.TCPConnector(limit=0, force_close=True)
             self._session = aiohttp.ClientSession(connector=connector)
         return self._session
 
     async def stream(self, attempt: Attempt) -> AsyncIterator[list[bytes]]:
-        """Yield checked token events as they come, until the closing mark.
+        """Yield checked token events as they arrive, until the ``[DONE]`` event.
 
         Raises:
-            AttemptFailed: with what is known of the target's part in it.
+            AttemptFailed: with the error, which shows whether the target is to blame.
         """
         body = dict(attempt.body)
         body["stream"] = True
@@ -130,13 +130,15 @@
             body["resume_from"] = attempt.resume_from
         first_s = attempt.first_event_s or self._first_event_s
         try:
-            async with self._pauses.timeout(first_s, attempt.max_wait_s) as limit:
-                response = await self._post(attempt, body, limit)
+            async with self._pauses.timeout(
+                first_s, attempt.max_wait_s
+            ) as event_timeout:
+                response = await self._post(attempt, body, event_timeout)
             try:
                 if response.status != 200:
-                    async with asyncio.timeout_at(limit.due):
+                    async with asyncio.timeout_at(event_timeout.due):
                         raise AttemptFailed(await _read_refusal(response))
-                async for events in self._events(response, attempt, limit.due):
+                async for events in self._events(response, attempt, event_timeout.due):
                     yield events
             finally:
                 response.close()
@@ -154,16 +156,18 @@
             raise AttemptFailed(WrongAnswer(str(error))) from error
 
     async def _post(
-        self, attempt: Attempt, body: dict[str, Any], limit: PauseAwareTimeout
+        self, attempt: Attempt, body: dict[str, Any], event_timeout: PauseAwareTimeout
     ) -> aiohttp.ClientResponse:
         loop = asyncio.get_running_loop()
         while True:
-            began = loop.time()
-            lost_s = self._pauses.paused_s
-            # A connection that takes too long is certain not to have carried a byte,
-            # so its limit has to run out before the other. Reads have a watch: see
+            started_at = loop.time()
+            paused_s = self._pauses.paused_s
+            # A connect timeout proves that no byte was sent, so it has to expire before
+            # the timeout of the first event. Reads have their own timeout: see
             # targets/silence.py.
-            connect_s = min(MAX_CONNECT_S, (limit.due - began) * CONNECT_TIMEOUT_RATIO)
+            connect_s = min(
+                MAX_CONNECT_S, (event_timeout.due - started_at) * CONNECT_TIMEOUT_RATIO
+            )
             try:
                 return await self._open().post(
                     f"http://{attempt.address}{attempt.path}",
@@ -179,9 +183,9 @@
             except aiohttp.ConnectionTimeoutError:
                 now = loop.time()
                 self._pauses.check(now)
-                if self._pauses.paused_s == lost_s or limit.due <= now:
+                if self._pauses.paused_s == paused_s or event_timeout.due <= now:
                     raise
-                # It may have come while the process stood still.
+                # The process was paused; the connection may be established by now.
 
     async def _events(
         self, response: aiohttp.ClientResponse, attempt: Attempt, due: float
@@ -190,32 +194,32 @@
         loop = asyncio.get_running_loop()
         checker = EventChecker(attempt.request, attempt.attempt, attempt.resume_from)
         content, clock = response.content, loop.time
-        silent = TimeoutError("nothing came for too long")
-        watched = self._silence.add(
-            due - clock(), lambda: content.set_exception(silent)
+        idle = TimeoutError("no data within the idle timeout")
+        read_timeout = self._idle_timeouts.add(
+            due - clock(), lambda: content.set_exception(idle)
         )
         try:
             while not checker.received_done:
-                # A method of the reader costs less for each read than its iterator.
+                # Cheaper per read than the iterator of the reader.
                 data = await content.readany()
                 if not data:
                     break
                 events = checker.feed(data)
                 if events:
-                    # Whoever reads slowly is not the target's fault.
-                    watched.timeout_s = math.inf
+                    # A slow consumer is not the target's fault.
+                    read_timeout.timeout_s = math.inf
                     yield events
-                    watched.last_received_at = clock()
-                    watched.timeout_s = between_s
+                    read_timeout.last_received_at = clock()
+                    read_timeout.timeout_s = between_s
                 if checker.wrong_event is not None:
                     raise checker.wrong_event
         finally:
-            self._silence.remove(watched)
+            self._idle_timeouts.remove(read_timeout)
         if not checker.received_done:
             raise AttemptFailed(Lost("the stream ended without its closing mark"))
 
     async def get(self, address: str, path: str) -> Any:
-        """Return what the engine's control ``path`` says; None if it does not."""
+        """Return the decoded answer of a control ``path``; None if there is none."""
         try:
             async with self._open().get(
                 f"http://{address}{path}", timeout=aiohttp.ClientTimeout(total=1.0)
@@ -227,7 +231,7 @@
             return None
 
     async def is_listening(self, address: str) -> bool:
-        """Return whether the engine answers at all, whatever it says."""
+        """Return whether the engine answers at all, with any status."""
         try:
             async with self._open().get(
                 f"http://{address}/control/load",
@@ -238,7 +242,7 @@
             return False
 
     async def cancel(self, address: str, attempt: str) -> None:
-        """Ask the engine to drop the attempt; best effort."""
+        """Ask the engine to cancel the attempt; best effort."""
         with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
             async with self._open().post(
                 f"http://{address}/control/cancel",
--- a/src/caperridge/targets/events.py
+++ b/src/caperridge/targets/events.py
@@ -1,8 +1,8 @@
-"""Checking the server-sent events of an engine's stream.
+"""Parser and validator of the server-sent events of an engine's stream.
 
-Each event must carry our request id, our attempt id and the next offset. Engines put
-these first, so the check compares bytes and parses nothing else; an event in another
-form is parsed whole.
+Each event must have the expected request id, attempt id and next offset. Engines put
+these fields first, so the check is a comparison of bytes; an event in any other form is
+parsed as JSON.
 """
 
 import orjson
@@ -13,16 +13,16 @@
 
 
 class WrongEventError(Exception):
-    """An event that does not belong to this attempt, or is not the next one."""
+    """The event is of another attempt, or not the next one of this attempt."""
 
 
 class EventChecker:
-    r"""Splits a stream into events and checks each against what is expected.
+    r"""Splits a stream into events and validates each.
 
     Args:
         request: id of the request.
         attempt: id of the attempt.
-        next_offset: offset of the first token that should come.
+        next_offset: offset of the first expected token.
 
     >>> checker = EventChecker("r", "a", 0)
     >>> checker.feed(b'data: {"id":"r","attempt":"a","offset":0,"x":1}')
@@ -60,9 +60,9 @@
     def feed(self, data: bytes) -> list[bytes]:
         """Return the token events completed by ``data``, each with its separator.
 
-        At an event that is not ours or not the next one, ``wrong_event`` is set; those
-        before it are returned, for they are good. What follows the closing mark is
-        nobody's and ignored.
+        At an event of another attempt or with another offset than the next,
+        ``wrong_event`` is set; the valid events before it are still returned. Data
+        after the ``[DONE]`` event is ignored.
         """
         if self._remainder:
             data = self._remainder + data
@@ -91,7 +91,7 @@
         self._expected = b"%b%d," % (self._head, self.next_offset)
 
     def _check(self, event: bytes) -> None:
-        """Check an event that does not start as the next one would."""
+        """Parse and check an event that does not start with the expected bytes."""
         offset = self._parse(event)
         if offset != self.next_offset:
             text = f"offset {offset} came where {self.next_offset} was due"
@@ -113,7 +113,7 @@
 
 
 def text_of(event: bytes) -> str:
-    """Return the text that a checked token event carries."""
+    """Return the text of a checked token event."""
     choice = orjson.loads(event[len(_PREFIX) :])["choices"][0]
     if "delta" in choice:
         return choice["delta"].get("content") or ""
@@ -121,5 +121,5 @@
 
 
 def finish_reason(event: bytes) -> str | None:
-    """Return why the answer ends with this checked event; None if it goes on."""
+    """Return the finish reason of a checked token event; None if more follow."""
     return orjson.loads(event[len(_PREFIX) :])["choices"][0].get("finish_reason")
--- a/src/caperridge/targets/listening.py
+++ b/src/caperridge/targets/listening.py
@@ -1,9 +1,9 @@
-"""Whether anything listens where a target was."""
+"""Connect probes that show whether a target's port is still open."""
 
 import asyncio
 import contextlib
 
-# Availability zones are some milliseconds apart; a host that lives refuses at once.
+# Availability zones are some milliseconds apart; a live host refuses immediately.
 CONNECT_TIMEOUT_S = 0.2
 
 
@@ -11,7 +11,7 @@
     """Open a connection to ``address`` and close it.
 
     Raises:
-        OSError: that was not possible.
+        OSError: the connection could not be opened.
     """
     host, _, port = address.rpartition(":")
     _, writer = await asyncio.open_connection(host, int(port))
@@ -21,9 +21,10 @@
 
 
 async def is_refused(address: str, timeout_s: float = CONNECT_TIMEOUT_S) -> bool:
-    """Return whether nothing listens at ``address`` any more, as its host says.
+    """Return whether the host of ``address`` refuses connections to it.
 
-    A host that says nothing may be cut off, and its target live.
+    No response within ``timeout_s`` seconds proves nothing: the host may be cut off by
+    the network while its target is alive.
     """
     try:
         async with asyncio.timeout(timeout_s):
--- a/src/caperridge/targets/orders.py
+++ b/src/caperridge/targets/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and what they say of themselves."""
+"""HTTP client of the control API of engines: desired state, with fencing tokens."""
 
 import math
 from typing import Any
@@ -10,13 +10,13 @@
 from caperridge.records import Record
 
 CALL_TIMEOUT_S = 2.0
-MAX_LEASE_RATIO = 0.25  # a lease is renewed well before so little is left
+MAX_LEASE_RATIO = 0.25  # a lease is renewed well before so little remains
 _HTTP_OK = 200
 _HTTP_CONFLICT = 409
 
 
 class TargetAway(Record):
-    """No answer; an order may have been obeyed all the same."""
+    """No valid answer; an order may nevertheless have been applied."""
 
     __slots__ = ("reason",)
 
@@ -25,7 +25,7 @@
 
 
 class OldFence(Record):
-    """The target has seen a higher fencing number and did not obey."""
+    """The target has seen a higher fencing token and rejected the order."""
 
     __slots__ = ("fence",)
 
@@ -34,12 +34,13 @@
 
 
 class OrderClient:
-    """Talks to the control side of engines; one for each instance.
+    """HTTP client of the control API of all engines; one per instance.
 
     Args:
-        deadline_s: longest wait for one call, in seconds.
-        lease_s: of the own session. An order leaves only while more of the lease is
-            left than it may take, so a short lease needs a shorter wait.
+        deadline_s: timeout of one call, in seconds.
+        lease_s: length of the own session's lease, in seconds. An order is sent only
+            while the remaining lease is longer than the order may take, so a short
+            lease needs a shorter timeout.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
             await self._session.close()
 
     async def observe(self, address: str) -> Result[Observed, TargetAway]:
-        """Return what the engine at ``address`` holds and was told."""
+        """Return what the engine has loaded, and its last order."""
         answer = await self._call("GET", address, "state")
         if isinstance(answer, Err):
             return answer
@@ -64,7 +65,7 @@
         return Ok(_observed(fields))
 
     async def running(self, address: str) -> Result[int, TargetAway]:
-        """Return how many requests the engine reports, which lags."""
+        """Return the running and waiting requests; the engine's report is delayed."""
         answer = await self._call("GET", address, "load")
         if isinstance(answer, Err):
             return answer
@@ -76,13 +77,13 @@
     async def order(
         self, address: str, fence: int, desired: Loaded, gb: float
     ) -> Result[None, TargetAway | OldFence]:
-        """Tell the engine what it should hold.
+        """Send the desired state to the engine.
 
         Args:
             address: ``host:port`` of the engine.
-            fence: number of this orderer.
-            desired: the whole state, not a step.
-            gb: how much there is to load, for the engine's own plans.
+            fence: fencing token of this orderer.
+            desired: the complete desired state, not a change to it.
+            gb: size of what is to be loaded, for the engine's own planning.
         """
         body = {"fence": fence, "desired": {**desired.to_map(), "gb": gb}}
         answer = await self._call("POST", address, "order", body)
@@ -99,7 +100,7 @@
         self, method: str, address: str, path: str, body: Any = None
     ) -> Result[tuple[int, dict[str, Any]], TargetAway]:
         if self._session is None:
-            # No kept-alive connection: the library would repeat a call on a stale one.
+            # No keep-alive: the library would repeat a call on a stale connection.
             connector = aiohttp.TCPConnector(force_close=True)
             self._session = aiohttp.ClientSession(connector=connector)
         try:
--- a/src/caperridge/targets/outcomes.py
+++ b/src/caperridge/targets/outcomes.py
@@ -1,4 +1,4 @@
-"""What can become of one attempt at a target, as typed errors."""
+"""Typed errors of one attempt at a target."""
 
 from functools import singledispatch
 
@@ -6,11 +6,11 @@
 
 
 class NotSent(Record):
-    """No byte of the request left for the target: it was certainly not run.
+    """No byte of the request was sent, so the target certainly did not run it.
 
     Attributes:
-        reason: why not.
-        broken_off: this end gave up, for connecting took too long.
+        reason: why it was not sent.
+        broken_off: whether the connect timeout of this end expired.
     """
 
     __slots__ = ("broken_off", "reason")
@@ -24,11 +24,12 @@
     """The target answered with an error.
 
     Attributes:
-        status: of its answer.
-        reason: its words.
-        run: ``not_run``, ``ran`` or ``unknown``, as far as it said so.
-        leaving: it said that it is leaving.
-        replaced: another target answered, so the one that was meant has ended.
+        status: HTTP status of the answer.
+        reason: message of the answer.
+        run: ``not_run``, ``ran`` or ``unknown``, as the target reported.
+        leaving: whether the target reported that it is leaving.
+        replaced: whether another target answered at the address, which shows that the
+            intended one no longer runs.
     """
 
     __slots__ = ("leaving", "reason", "replaced", "run", "status")
@@ -49,16 +50,16 @@
 
     @property
     def permanent(self) -> bool:
-        """Whether the same request would be refused again anywhere."""
+        """Whether every target would refuse the same request."""
         return self.status in (400, 404, 413, 422)
 
 
 class Lost(Record):
-    """The connection ended, or the time, before the answer was whole.
+    """The connection was lost, or a timeout expired, before the answer was complete.
 
     Attributes:
-        reason: how it ended.
-        broken_off: this end closed the connection, for nothing came for too long.
+        reason: how the connection was lost.
+        broken_off: whether a timeout of this end expired.
     """
 
     __slots__ = ("broken_off", "reason")
@@ -69,7 +70,7 @@
 
 
 class WrongAnswer(Record):
-    """The target answered another request than ours, or out of order."""
+    """The answer belongs to another request, or its events are out of order."""
 
     __slots__ = ("reason",)
 
@@ -78,7 +79,7 @@
 
 
 class Withdrawn(Record):
-    """This end cancelled the attempt, which says nothing of the target."""
+    """This end cancelled the attempt, which is no evidence against the target."""
 
     __slots__ = ("reason",)
 
@@ -91,7 +92,7 @@
 
 @singledispatch
 def timed_out(error: AttemptError) -> bool:
-    """Return whether only a time limit of this end ended the attempt.
+    """Return whether the attempt ended only because a timeout of this end expired.
 
     >>> timed_out(Lost("no event in time", broken_off=True))
     True
--- a/src/caperridge/targets/plain.py
+++ b/src/caperridge/targets/plain.py
@@ -1,4 +1,4 @@
-"""The client of plain services: one request on the wire for each call."""
+"""HTTP client of plain services; each call sends exactly one request."""
 
 import aiohttp
 import yarl
@@ -12,18 +12,18 @@
 CALL_TIMEOUT_S = 30.0
 CONNECT_TIMEOUT_S = 2.0
 MAX_ANSWER_BYTES = 16 * 2**20
-# What the library would add by itself; a service gets what its caller sent.
+# Headers that the library would add; a service receives only what the caller sent.
 AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
 class PlainCall(Record):
-    """One call as it goes to a service.
+    """One HTTP request to a service.
 
     Attributes:
-        method: of HTTP.
-        path: with the query, encoded as the caller sent it.
-        headers: those that pass; see :mod:`caperridge.instance.plain_headers`.
-        body: whole.
+        method: the HTTP method.
+        path: path and query, encoded as the caller sent them.
+        headers: the headers to forward; see :mod:`caperridge.instance.plain_headers`.
+        body: the complete body.
     """
 
     __slots__ = ("body", "headers", "method", "path")
@@ -38,7 +38,7 @@
 
 
 class PlainAnswer(Record):
-    """What a plain service answered, whatever its status."""
+    """The answer of a plain service, with any status."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -49,7 +49,7 @@
 
 
 class AnswerTooLarge(Record):
-    """The target answered, with more bytes than are passed on."""
+    """The body of the target's answer is larger than the limit."""
 
     __slots__ = ("reason",)
 
@@ -61,12 +61,12 @@
 
 
 class PlainClient:
-    """Calls plain services; a connection serves one call, redirects are answers.
+    """Calls plain services; one call per connection, redirects are not followed.
 
     Args:
-        deadline_s: longest wait for a whole answer, in seconds.
-        connect_s: longest wait for a connection.
-        max_answer_bytes: a longer body is an error.
+        deadline_s: timeout of the complete answer, in seconds.
+        connect_s: connect timeout, in seconds.
+        max_answer_bytes: largest body; a larger one is an error.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         if self._session is None:
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0, force_close=True),
-                # A jar would give one caller's cookies to another.
+                # A cookie jar would send one caller's cookies with another's call.
                 cookie_jar=aiohttp.DummyCookieJar(),
                 auto_decompress=False,
                 middlewares=(loss_is_final,),
@@ -99,7 +99,7 @@
     async def call(
         self, address: str, call: PlainCall
     ) -> Result[PlainAnswer, PlainError]:
-        """Send one request and return its answer, whatever its status."""
+        """Send one request and return its answer, with any status."""
         try:
             async with self._open().request(
                 call.method,
--- a/src/caperridge/targets/prompt.py
+++ b/src/caperridge/targets/prompt.py
@@ -1,11 +1,11 @@
-"""Reading the OpenAI-shaped request: its prompt and its size."""
+"""Prompt text of requests in the format of the OpenAI API."""
 
 from collections.abc import Mapping
 from typing import Any
 
 
 def prompt_of(body: Mapping[str, Any]) -> str:
-    r"""Return the whole prompt text of a chat or text completion.
+    r"""Return the complete prompt text of a chat or text completion request.
 
     >>> prompt_of({"messages": [{"role": "user", "content": "hi"}]})
     'user: hi\n'
--- a/src/caperridge/targets/silence.py
+++ b/src/caperridge/targets/silence.py
@@ -16,17 +16,17 @@
     Attributes:
         last_received_at: when data last arrived, by the loop's clock.
         timeout_s: longest time without data from then on.
-        on_timeout: called once when that time is exceeded.
+        callback: called once when that time is exceeded.
     """
 
-    __slots__ = ("last_received_at", "on_timeout", "timeout_s")
+    __slots__ = ("callback", "last_received_at", "timeout_s")
 
     def __init__(
-        self, last_received_at: float, timeout_s: float, on_timeout: Callable[[], None]
+        self, last_received_at: float, timeout_s: float, callback: Callable[[], None]
     ) -> None:
         self.last_received_at = last_received_at
         self.timeout_s = timeout_s
-        self.on_timeout = on_timeout
+        self.callback = callback
 
 
 class IdleTimeouts:
@@ -36,10 +36,10 @@
         self._timeouts: set[StreamTimeout] = set()
         self._timer: asyncio.TimerHandle | None = None
 
-    def add(self, timeout_s: float, on_timeout: Callable[[], None]) -> StreamTimeout:
+    def add(self, timeout_s: float, callback: Callable[[], None]) -> StreamTimeout:
         """Start the timeout of a stream now."""
         loop = asyncio.get_running_loop()
-        timeout = StreamTimeout(loop.time(), timeout_s, on_timeout)
+        timeout = StreamTimeout(loop.time(), timeout_s, callback)
         self._timeouts.add(timeout)
         if self._timer is None:
             self._set_timer(loop)
@@ -61,7 +61,7 @@
             if now - timeout.last_received_at <= timeout.timeout_s:
                 continue
             self._timeouts.discard(timeout)
-            timeout.on_timeout()
+            timeout.callback()
 
     def close(self) -> None:
         """Remove all timeouts and stop the timer."""
--- a/tests/adapter/test_dialect.py
+++ b/tests/adapter/test_dialect.py
@@ -1,4 +1,4 @@
-"""What the platform writes is decoded into the product's types, and nothing else is."""
+"""Decoding of the platform's data into the product's types; the rest is refused."""
 
 import base64
 from typing import Any
@@ -98,10 +98,10 @@
 
 def without(fields: dict[str, Any], *path: Any) -> dict[str, Any]:
     copy = orjson.loads(orjson.dumps(fields))
-    place = copy
+    parent = copy
     for part in path[:-1]:
-        place = place[part]
-    del place[path[-1]]
+        parent = parent[part]
+    del parent[path[-1]]
     return copy
 
 
--- a/tests/adapter/test_entries.py
+++ b/tests/adapter/test_entries.py
@@ -1,8 +1,9 @@
-"""Entries of targets that another program wrote, or wrote in part, name no target.
+"""Invalid and incomplete entries in the table of targets define no target.
 
-The list of targets is open to other writers. An entry with a field missing or of
-another type was taken for a target that takes work: every request that was sent there
-was lost, or the address could not be connected to at all.
+Guards against requests sent to targets that don't exist. Other programs can write to
+that table. An entry with a missing field, or a field of another type, was treated as a
+target that accepts work: every request sent there was lost, or no connection to the
+address was possible.
 """
 
 from typing import Any
@@ -91,7 +92,7 @@
 
 
 def is_typed(target: Target) -> bool:
-    """Whether every field is of the type that the product relies on."""
+    """Return whether every field has its declared type and a valid value."""
     host, _, port = target.address.rpartition(":")
     return (
         type(target.slots) is int
--- a/tests/adapter/test_words.py
+++ b/tests/adapter/test_words.py
@@ -1,4 +1,4 @@
-"""The platform's words stay in the adapter."""
+"""The platform's names are used only in the adapter package."""
 
 import re
 from pathlib import Path
@@ -8,7 +8,7 @@
 import caperridge
 
 ROOT = Path(caperridge.__file__).parent
-# Names on the platform's wire that the product's own interface does not share.
+# Names of the platform's wire format that the product's own interface does not use.
 WORDS = (
     "sinceRev",
     "targetVersion",
--- a/tests/store/test_platform_contract.py
+++ b/tests/store/test_platform_contract.py
@@ -1,4 +1,4 @@
-"""Each call of the platform under each fault, in memory and over HTTP alike."""
+"""Contract of each platform call under each fault, in memory and over HTTP."""
 
 import time
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -27,12 +27,12 @@
 from caperridge.store.settle import put_settled, transact_settled
 
 
-class Pair:
-    """A platform as its users see it, and the memory behind it with the faults."""
+class PlatformUnderTest:
+    """A platform client, and the in-memory platform behind it, which injects faults."""
 
-    def __init__(self, memory: MemoryPlatform, seen: Platform) -> None:
+    def __init__(self, memory: MemoryPlatform, client: Platform) -> None:
         self.memory = memory
-        self.seen = seen
+        self.client = client
 
 
 Call = Callable[[Platform], Awaitable[Result[Any, Any]]]
@@ -65,33 +65,37 @@
 
 
 @pytest.fixture(params=["memory", "http"])
-async def pair(request: pytest.FixtureRequest, listen: Any) -> AsyncIterator[Pair]:
+async def under_test(
+    request: pytest.FixtureRequest, listen: Any
+) -> AsyncIterator[PlatformUnderTest]:
     memory = MemoryPlatform(time.monotonic)
     if request.param == "memory":
-        yield Pair(memory, memory)
+        yield PlatformUnderTest(memory, memory)
         return
     address = await listen(platform_standin.make_app(memory))
     http = HttpPlatform(f"http://{address}", "oviedo", deadline_s=0.5)
-    yield Pair(memory, http)
+    yield PlatformUnderTest(memory, http)
     await http.close()
 
 
 @pytest.fixture(autouse=True)
-async def rows(pair: Pair, monkeypatch: pytest.MonkeyPatch) -> None:
+async def rows(under_test: PlatformUnderTest, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(settle, "RETRY_DELAY_S", 0.0)
-    memory = pair.memory
+    memory = under_test.memory
     await memory.transact([], [PutRow("row/a", {"n": 1, "s": "x"})], "token-a")
     await memory.put_object("object/a", b"0123456789")
     memory.set_members([ListedMember("t", "target", "h:1", "oviedo")])
 
 
-def contents(pair: Pair) -> tuple[dict, dict]:
-    return dict(pair.memory.rows_by_key), dict(pair.memory.objects_by_name)
+def contents(under_test: PlatformUnderTest) -> tuple[dict, dict]:
+    return dict(under_test.memory.rows_by_key), dict(under_test.memory.objects_by_name)
 
 
 @pytest.mark.parametrize("name", CALLS)
-async def test_without_faults_each_call_is_done(pair: Pair, name: str) -> None:
-    assert isinstance(await CALLS[name](pair.seen), Ok)
+async def test_without_faults_each_call_is_done(
+    under_test: PlatformUnderTest, name: str
+) -> None:
+    assert isinstance(await CALLS[name](under_test.client), Ok)
 
 
 @pytest.mark.parametrize(
@@ -103,25 +107,27 @@
 )
 @pytest.mark.parametrize("name", CALLS)
 async def test_a_refused_call_is_not_done(
-    pair: Pair, name: str, faults: dict[str, Any]
+    under_test: PlatformUnderTest, name: str, faults: dict[str, Any]
 ) -> None:
-    pair.memory.faults = pair.memory.faults.replace(**faults)
-    # The bucket holds one call's worth at first.
-    await pair.memory.delete_object("object/none")
-    await pair.memory.get_object("object/none")
-    before = contents(pair)
-    outcome = await CALLS[name](pair.seen)
+    under_test.memory.faults = under_test.memory.faults.replace(**faults)
+    # Initially the rate limiter's token bucket allows one call.
+    await under_test.memory.delete_object("object/none")
+    await under_test.memory.get_object("object/none")
+    before = contents(under_test)
+    outcome = await CALLS[name](under_test.client)
     assert isinstance(outcome, Err)
     assert isinstance(outcome.err_value, NotDone)
-    assert contents(pair) == before
+    assert contents(under_test) == before
 
 
 @pytest.mark.parametrize("name", WRITES)
-async def test_a_lost_answer_is_unknown_never_not_done(pair: Pair, name: str) -> None:
-    pair.memory.faults.lose_answers = 1.0
-    outcome = await WRITES[name](pair.seen)
+async def test_a_lost_answer_is_unknown_never_not_done(
+    under_test: PlatformUnderTest, name: str
+) -> None:
+    under_test.memory.faults.lose_answers = 1.0
+    outcome = await WRITES[name](under_test.client)
     if name in ("transact_settled", "delete_object"):
-        # Settled by reading back; a delete is the same whoever did it.
+        # The settled one is read back; deleting twice gives the same result.
         assert isinstance(outcome, Ok)
         return
     assert isinstance(outcome, Err)
@@ -129,10 +135,12 @@
 
 
 @pytest.mark.parametrize("name", CALLS)
-async def test_a_slow_call_is_done_or_unknown(pair: Pair, name: str) -> None:
-    pair.memory.faults.slow_s = 0.6
-    outcome = await CALLS[name](pair.seen)
-    if pair.seen is pair.memory:
+async def test_a_slow_call_is_done_or_unknown(
+    under_test: PlatformUnderTest, name: str
+) -> None:
+    under_test.memory.faults.slow_s = 0.6
+    outcome = await CALLS[name](under_test.client)
+    if under_test.client is under_test.memory:
         assert isinstance(outcome, Ok)
     else:
         assert isinstance(outcome.err_value, Unknown)
@@ -152,71 +160,81 @@
     ],
 )
 async def test_a_transaction_is_all_or_nothing(
-    pair: Pair, condition: Any, holds: bool
+    under_test: PlatformUnderTest, condition: Any, holds: bool
 ) -> None:
-    before = contents(pair)
+    before = contents(under_test)
     writes = [
         SetFields("row/a", {"n": 2}),
         PutRow("row/b", {"n": 1}),
         DeleteRow("row/d"),
     ]
-    outcome = await pair.seen.transact([condition], writes, "t")
+    outcome = await under_test.client.transact([condition], writes, "t")
     if holds:
         assert outcome.ok_value.versions_by_key == {"row/a": 2, "row/b": 1}
-        assert pair.memory.rows_by_key["row/a"].value == {"n": 2, "s": "x"}
+        assert under_test.memory.rows_by_key["row/a"].value == {"n": 2, "s": "x"}
         return
     assert isinstance(outcome.err_value, Conflict)
     assert outcome.err_value.failed_keys == [condition.key]
-    shown = outcome.err_value.rows_by_key[condition.key]
-    assert shown == pair.memory.rows_by_key.get(condition.key)
-    assert contents(pair) == before
+    reported_row = outcome.err_value.rows_by_key[condition.key]
+    assert reported_row == under_test.memory.rows_by_key.get(condition.key)
+    assert contents(under_test) == before
 
 
-async def test_fields_of_an_absent_row_are_not_set(pair: Pair) -> None:
-    outcome = await pair.seen.transact([], [SetFields("row/c", {"n": 1})], "t")
+async def test_fields_of_an_absent_row_are_not_set(
+    under_test: PlatformUnderTest,
+) -> None:
+    outcome = await under_test.client.transact([], [SetFields("row/c", {"n": 1})], "t")
     assert outcome.err_value.failed_keys == ["row/c"]
 
 
-async def test_a_settled_conflict_with_another_stays_a_conflict(pair: Pair) -> None:
+async def test_a_settled_conflict_with_another_stays_a_conflict(
+    under_test: PlatformUnderTest,
+) -> None:
     conditions = [RowVersion("row/a", 1)]
-    await pair.memory.transact([], [SetFields("row/a", {"n": 9})], "other")
-    pair.memory.faults.lose_answers = 1.0
+    await under_test.memory.transact([], [SetFields("row/a", {"n": 9})], "other")
+    under_test.memory.faults.lose_answers = 1.0
     outcome = await transact_settled(
-        pair.seen, conditions, [SetFields("row/a", {"n": 2})], "own"
+        under_test.client, conditions, [SetFields("row/a", {"n": 2})], "own"
     )
     assert isinstance(outcome.err_value, Conflict)
-    assert pair.memory.rows_by_key["row/a"].value["n"] == 9
+    assert under_test.memory.rows_by_key["row/a"].value["n"] == 9
 
 
-async def test_a_lost_answer_before_an_outage_stays_unknown(pair: Pair) -> None:
-    pair.memory.faults.lose_answers = 1.0
-    first = await pair.seen.transact(*INSERT)
+async def test_a_lost_answer_before_an_outage_stays_unknown(
+    under_test: PlatformUnderTest,
+) -> None:
+    under_test.memory.faults.lose_answers = 1.0
+    first = await under_test.client.transact(*INSERT)
     assert isinstance(first.err_value, Unknown)
-    transact = pair.seen.transact
+    transact = under_test.client.transact
 
-    async def lost_then_away(*arguments: Any) -> Result[Any, Any]:
+    async def transact_before_outage(*arguments: Any) -> Result[Any, Any]:
         outcome = await transact(*arguments)
-        pair.memory.faults.outage = True
+        under_test.memory.faults.outage = True
         return outcome
 
-    pair.memory.rows_by_key.pop("row/b")
-    pair.seen.transact = lost_then_away
-    outcome = await transact_settled(pair.seen, *INSERT)
+    under_test.memory.rows_by_key.pop("row/b")
+    under_test.client.transact = transact_before_outage
+    outcome = await transact_settled(under_test.client, *INSERT)
     assert isinstance(outcome.err_value, Unknown)
-    assert "row/b" in pair.memory.rows_by_key
+    assert "row/b" in under_test.memory.rows_by_key
 
 
-async def test_pages_of_a_scan_are_in_order_and_complete(pair: Pair) -> None:
+async def test_pages_of_a_scan_are_in_order_and_complete(
+    under_test: PlatformUnderTest,
+) -> None:
     for number in range(7):
-        await pair.memory.transact([], [PutRow(f"page/{number}", {"n": number})], "t")
+        await under_test.memory.transact(
+            [], [PutRow(f"page/{number}", {"n": number})], "t"
+        )
     found: list[int] = []
     after = ""
-    while page := (await pair.seen.scan("page/", after, 3)).ok_value:
+    while page := (await under_test.client.scan("page/", after, 3)).ok_value:
         found.extend(row.value["n"] for row in page)
         after = page[-1].key
     assert found == list(range(7))
 
 
-async def test_part_of_an_object_can_be_read(pair: Pair) -> None:
-    assert (await pair.seen.get_object("object/a", 2, 3)).ok_value == b"234"
-    assert (await pair.seen.get_object("object/none")).ok_value is None
+async def test_part_of_an_object_can_be_read(under_test: PlatformUnderTest) -> None:
+    assert (await under_test.client.get_object("object/a", 2, 3)).ok_value == b"234"
+    assert (await under_test.client.get_object("object/none")).ok_value is None
--- a/tests/targets/test_events.py
+++ b/tests/targets/test_events.py
@@ -1,4 +1,4 @@
-"""Every event is checked; nothing wrong is passed on."""
+"""Each event of a stream is validated; invalid ones are not forwarded."""
 
 import pytest
 from hypothesis import given, settings
@@ -34,9 +34,9 @@
 @pytest.mark.parametrize("data", WRONG_BY_NAME.values(), ids=WRONG_BY_NAME)
 def test_a_wrong_event_is_refused(data: bytes) -> None:
     checker = EventChecker("r", "a", 0)
-    passed_on = checker.feed(data)
+    forwarded = checker.feed(data)
     assert isinstance(checker.wrong_event, WrongEventError)
-    assert passed_on in ([], [event(0)])
+    assert forwarded in ([], [event(0)])
     assert not checker.received_done
 
 
@@ -61,10 +61,10 @@
     stream = b"".join(events) + DONE_EVENT
     checker = EventChecker("r", "a", start)
     checked: list[bytes] = []
-    at = 0
+    position = 0
     for size in [*cuts, len(stream)]:
-        checked += checker.feed(stream[at : at + size])
-        at += size
+        checked += checker.feed(stream[position : position + size])
+        position += size
     assert checked == events
     assert checker.received_done
     assert checker.next_offset == start + count
