--- a/src/caperridge/platform/dialect.py
+++ b/src/caperridge/platform/dialect.py
@@ -28,7 +28,12 @@
 )
 from caperridge.gateway.targets import Target, TargetLoad, incarnation_id
 
-_KINDS = {"safe": SAFE, "unsafe": UNSAFE, "streaming": STREAMING, "batch": BATCH}
+_KINDS_BY_NAME = {
+    "safe": SAFE,
+    "unsafe": UNSAFE,
+    "streaming": STREAMING,
+    "batch": BATCH,
+}
 _COMPLETED = "completed"
 _DEAD = "dead_letter"
 _MISDIRECTED = 421
@@ -109,11 +114,15 @@
         fields.text("version")
         fields.number("coldLeftMs")
         fields.integer("seq", 0, MAX_INTEGER)
-        born = self._born(fields)
+        start_time_ms = self._start_time_ms(fields)
         fields.check()
-        return target.replace(id=incarnation_id(name, born)) if born else target
+        return (
+            target.replace(id=incarnation_id(name, start_time_ms))
+            if start_time_ms
+            else target
+        )
 
-    def _born(self, fields: Fields) -> int:
+    def _start_time_ms(self, fields: Fields) -> int:
         """Return the start time of a target, in ms; 0 if it is not given."""
         return fields.integer("born", 1, MAX_INTEGER) if "born" in fields else 0
 
@@ -122,9 +131,9 @@
         fields = Fields(self.load_path, body)
         running = fields.integer("activeRequests", 0, MAX_INTEGER)
         waiting = fields.integer("queueDepth", 0, MAX_INTEGER)
-        born = self._born(fields)
+        start_time_ms = self._start_time_ms(fields)
         fields.check()
-        return TargetLoad(running, waiting, born)
+        return TargetLoad(running, waiting, start_time_ms)
 
     def job(self, body: bytes) -> JobRequest:
         """See :meth:`Dialect.job`."""
@@ -161,7 +170,7 @@
 
 
 def _route(fields: dict[str, Any]) -> Route:
-    kind = _KINDS[fields["kind"]]
+    kind = _KINDS_BY_NAME[fields["kind"]]
     batch = None
     if kind == BATCH:
         batch = BatchTerms(
--- a/src/caperridge/platform/store.py
+++ b/src/caperridge/platform/store.py
@@ -30,8 +30,8 @@
 CONNECT_TIMEOUT_S = 0.5
 # A long poll whose answer is overdue by this time has a dead connection.
 LONG_POLL_SLACK_S = 0.7
-_NOT_DONE = frozenset({429, 503, 507})
-_NO_CONNECTION = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+_NOT_DONE_STATUSES = frozenset({429, 503, 507})
+_CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
 class HttpRowStore(RowStore):
@@ -195,7 +195,7 @@
                     allow_redirects=False,
                 ) as response:
                     return Ok((response.status, await response.read()))
-            except _NO_CONNECTION as error:
+            except _CONNECT_ERRORS as error:
                 return Err(NotDone(f"no connection: {error}", reached=False))
             except LostOnTheWayError as error:
                 self._retire(session)
@@ -215,7 +215,7 @@
 
 def _refusal(status: int) -> StoreError:
     reason = f"the store answered {status}"
-    return NotDone(reason) if status in _NOT_DONE else Unknown(reason)
+    return NotDone(reason) if status in _NOT_DONE_STATUSES else Unknown(reason)
 
 
 def _key_fields(key: RowKey) -> dict[str, Any]:
--- a/src/caperridge/store/http.py
+++ b/src/caperridge/store/http.py
@@ -31,7 +31,7 @@
 
 DEFAULT_DEADLINE_S = 3.0
 _HTTP_CONFLICT = 409
-_HTTP_ABSENT = 404
+_HTTP_NOT_FOUND = 404
 
 
 class HttpPlatform(Platform):
@@ -58,7 +58,7 @@
         if secret:
             self._headers["Authorization"] = f"Bearer {secret}"
         self._timeout = aiohttp.ClientTimeout(total=deadline_s)
-        # Created here, before the event loop serves: it reads files, which blocks.
+        # Created here and not in a call: reading files would block the event loop.
         secure = endpoint.startswith("https:")
         self._ssl: SSLContext | bool = client_context(authority) if secure else True
         self._session: aiohttp.ClientSession | None = None
@@ -125,7 +125,7 @@
         if isinstance(answer, Err):
             return answer
         status, data = answer.ok_value
-        return Ok(None if status == _HTTP_ABSENT else data)
+        return Ok(None if status == _HTTP_NOT_FOUND else data)
 
     async def list_objects(
         self, prefix: str, after: str = "", limit: int = 1000
@@ -188,7 +188,7 @@
 def _classify(
     response: aiohttp.ClientResponse, data: bytes
 ) -> Result[tuple[int, bytes], Any]:
-    if response.status in (200, 204, 206, _HTTP_ABSENT, _HTTP_CONFLICT):
+    if response.status in (200, 204, 206, _HTTP_NOT_FOUND, _HTTP_CONFLICT):
         return Ok((response.status, data))
     if response.status in (429, 503):
         retry_after_s = float(response.headers.get("Retry-After", "0"))
--- a/src/caperridge/store/relay.py
+++ b/src/caperridge/store/relay.py
@@ -152,7 +152,7 @@
         outcome = await direct()
         was_cut_off = self.cut_off
         self._update_reachability(outcome)
-        if was_cut_off or _reached(outcome):
+        if was_cut_off or _responded(outcome):
             return outcome
         if not (repeatable or _certainly_not_sent(outcome)):
             # It may have taken effect: the caller settles that, now through the relay.
@@ -163,12 +163,12 @@
     async def _relay(self, method: str, arguments: dict[str, Any]) -> Result[Any, Any]:
         assert self.transport is not None
         outcome = await self.transport.call(method, arguments)
-        if _reached(outcome):
+        if _responded(outcome):
             self.relayed += 1
         return outcome
 
     def _update_reachability(self, outcome: Result[Any, Any]) -> None:
-        cut_off = not _reached(outcome)
+        cut_off = not _responded(outcome)
         if cut_off == self.cut_off:
             return
         self.cut_off = cut_off
@@ -193,7 +193,7 @@
         self._update_reachability(await self.direct.read([]))
 
 
-def _reached(outcome: Result[Any, Any]) -> bool:
+def _responded(outcome: Result[Any, Any]) -> bool:
     """Return whether the platform responded at all."""
     if isinstance(outcome, Ok):
         return True
--- a/src/caperridge/targets/engine.py
+++ b/src/caperridge/targets/engine.py
@@ -185,7 +185,7 @@
                 self._pauses.check(now)
                 if self._pauses.paused_s == paused_s or event_timeout.due <= now:
                     raise
-                # The process was paused; the connection may be established by now.
+                # The process was paused; the connection may have been made in time.
 
     async def _events(
         self, response: aiohttp.ClientResponse, attempt: Attempt, due: float
--- a/src/caperridge/targets/plain.py
+++ b/src/caperridge/targets/plain.py
@@ -126,11 +126,11 @@
             return Err(Lost(type(error).__name__))
 
     async def _read_body(self, response: aiohttp.ClientResponse) -> bytes | None:
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
-        async for piece in response.content.iter_any():
-            size += len(piece)
+        async for chunk in response.content.iter_any():
+            size += len(chunk)
             if size > self._max_answer_bytes:
                 return None
-            pieces.append(piece)
-        return b"".join(pieces)
+            chunks.append(chunk)
+        return b"".join(chunks)
