--- a/src/caperridge/gateway/mesh/mesh.py
+++ b/src/caperridge/gateway/mesh/mesh.py
@@ -303,7 +303,7 @@
             call()
 
     def _close_older_streams(self, stream: InStream) -> None:
-        """Close older streams of the same sender, which it may not have closed."""
+        """Close older streams of the same sender; their end may not have arrived."""
         for other in list(self._streams):
             if other is not stream and other.instance == stream.instance:
                 other.close()
--- a/src/caperridge/gateway/relayed_store.py
+++ b/src/caperridge/gateway/relayed_store.py
@@ -156,8 +156,8 @@
         alive = [peer for peer in self._mesh.alive() if peer.store_reached]
         # A leaving peer may stop before it has the store's answer.
         reaching = [peer for peer in alive if not peer.leaving] or alive
-        near = [peer for peer in reaching if peer.zone == self._mesh.zone]
-        choices = near or reaching
+        local = [peer for peer in reaching if peer.zone == self._mesh.zone]
+        choices = local or reaching
         return self._chance.choice(choices) if choices else None
 
     def _serve(self, peer: str, request: StoreAsk) -> None:
--- a/tests/gateway/store_standin.py
+++ b/tests/gateway/store_standin.py
@@ -41,7 +41,7 @@
         self.writes = 0
         self.calls: list[str] = []
         self.waits_ms: list[int] = []
-        self.forgotten_before = 0
+        self.history_start_version = 0
         self._log: list[tuple[int, dict[str, Any]]] = []
         self._changed = asyncio.Event()
 
@@ -61,9 +61,9 @@
         self._remove((table, part, key))
         self._wake()
 
-    def forget_history(self) -> None:
+    def expire_history(self) -> None:
         """Answer 410 to requests for changes before now."""
-        self.forgotten_before = self.version
+        self.history_start_version = self.version
 
     def application(self) -> web.Application:
         """Return the web application of the store."""
@@ -148,7 +148,7 @@
         self.waits_ms.append(wait_ms)
         until = time.monotonic() + wait_ms / 1000
         while True:
-            if since < self.forgotten_before:
+            if since < self.history_start_version:
                 return web.Response(status=410)
             rows = [
                 row for at, row in self._log if at > since and row["table"] == table
--- a/tests/gateway/test_online.py
+++ b/tests/gateway/test_online.py
@@ -233,7 +233,7 @@
     await world.add_runner()
     instance = await world.add_instance()
     await world.ready()
-    world.store.forget_history()
+    world.store.expire_history()
     world.configure(9, ROUTES)
     await until(lambda: instance.configuration.table.version == 9)
 
--- a/tests/gateway/test_store_contract.py
+++ b/tests/gateway/test_store_contract.py
@@ -142,7 +142,7 @@
 
 async def test_forgotten_history_is_said(world: World, direct: HttpRowStore) -> None:
     world.store.put("t", "a", 1)
-    world.store.forget_history()
+    world.store.expire_history()
     answer = await direct.changes("t", 0, 0.05)
     assert answer.err_value == HistoryGone()
     await direct.close()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -76,7 +76,7 @@
 async def store_forgets(town: Town, chance: random.Random) -> None:
     """Have the store forget the history of changes."""
     town.diary.begin(EVERYBODY, "store forgets").end()
-    town.store.forget_history()
+    town.store.expire_history()
 
 
 async def runner_fails(town: Town, chance: random.Random) -> None:
