--- a/src/caperridge/gateway/stopping.py
+++ b/src/caperridge/gateway/stopping.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: readiness ends at once, serving when callers have moved."""
+"""Graceful shutdown: not ready at once, but serving until callers have moved."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 
 # The balancer checks readiness every second and removes an instance after two failures.
 BALANCER_REMOVAL_S = 2.6
-# The largest part of a short grace period that is allowed for that.
+# The balancer is assumed to need at most this part of a short grace period.
 BALANCER_REMOVAL_RATIO = 1 / 3
 # Reserved for closing connections before the process is killed, and the largest part
 # of a short grace period for that.
@@ -26,7 +26,7 @@
 # The listener stays open for at least this part of a short grace period.
 MIN_OPEN_RATIO = 0.45
 # Requests still unanswered this long before the end get an error answer, so that their
-# callers need not wait for a closed connection.
+# callers receive a status.
 ERROR_ANSWER_S = 0.2
 # The largest part of a short grace period for that. Together with
 # ``CLOSE_RESERVE_RATIO`` it is less than the last sixth of the period, up to which a
--- a/src/caperridge/gateway/targets.py
+++ b/src/caperridge/gateway/targets.py
@@ -121,7 +121,7 @@
             previous if previous is not None and previous.id != target.id else None
         )
         if superseded is not None:
-            self._discard(superseded.id)
+            self._drop(superseded.id)
         self._lapsing_until_by_id.pop(target.id, None)
         self.by_id[target.id] = target
         self._id_by_name[target.name] = target.id
@@ -141,7 +141,7 @@
             until = self._store_returned_at + LAPSE_GRACE_S
             self._lapsing_until_by_id.setdefault(target.id, until)
             return
-        self._discard(target.id)
+        self._drop(target.id)
 
     def discard(self, name: str) -> bool:
         """Drop a target whose entry became invalid; return whether there was one.
@@ -150,7 +150,7 @@
         """
         target = self.find_by_name(name)
         if target is not None:
-            self._discard(target.id)
+            self._drop(target.id)
         return target is not None
 
     def find_by_name(self, name: str) -> Target | None:
@@ -163,7 +163,7 @@
             id for id, until in self._lapsing_until_by_id.items() if until <= now
         ]
         for id in expired:
-            self._discard(id)
+            self._drop(id)
         return expired
 
     def of_service(self, service: str) -> list[Target]:
@@ -174,7 +174,7 @@
             if target.service == service and not target.draining
         ]
 
-    def _discard(self, id: str) -> None:
+    def _drop(self, id: str) -> None:
         target = self.by_id.pop(id, None)
         if target is not None:
             del self._id_by_name[target.name]
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop: readiness ends at once, serving when callers have moved."""
+"""A planned stop: not ready at once, but serving until callers have moved."""
 
 import asyncio
 import contextlib
