--- a/src/caperridge/platform/dialect.py
+++ b/src/caperridge/platform/dialect.py
@@ -1,7 +1,7 @@
-"""The platform's words for requests, configuration, targets and jobs.
+"""Decoder and encoder of the platform's requests, configuration, targets and jobs.
 
-Some of its names serve several calls and say little there; a comment beside a field
-tells what it holds.
+Some of its names are shared by several calls and are misleading in one of them; a
+comment at such a field states its meaning.
 """
 
 import base64
@@ -28,17 +28,23 @@
 )
 from caperridge.gateway.targets import Target, TargetLoad, incarnation_id
 
-_KINDS = {"safe": SAFE, "unsafe": UNSAFE, "streaming": STREAMING, "batch": BATCH}
+_KINDS_BY_NAME = {
+    "safe": SAFE,
+    "unsafe": UNSAFE,
+    "streaming": STREAMING,
+    "batch": BATCH,
+}
 _COMPLETED = "completed"
 _DEAD = "dead_letter"
 _MISDIRECTED = 421
 _READY = "ready"
 _DRAINING = "draining"
-# No engine batches nearly as many; an entry that says so would draw all requests.
-MOST_SLOTS = 10_000
-MOST_WHOLE = 2**63 - 1
-# What reading a field of another type or shape raises.
-_UNREADABLE = (
+# Far more than any engine runs at once; a target with a larger number in its entry
+# would attract all requests.
+MAX_SLOTS = 10_000
+MAX_INTEGER = 2**63 - 1
+# Raised when a field is missing or has another type or shape than expected.
+_DECODE_ERRORS = (
     ValueError,
     LookupError,
     TypeError,
@@ -53,7 +59,7 @@
     headers = HeaderNames(
         request="X-Request-Id",
         deadline="X-Deadline-Ms",
-        incarnation="X-Expect-Instance",  # a target's id, not one of our instances
+        incarnation="X-Expect-Instance",  # id of a target, not of an instance
         not_run="X-Not-Executed",
         signature="X-Response-Stamp",
         resume="Last-Event-Id",
@@ -89,7 +95,7 @@
                     idle_s=limits["idleTimeoutMs"] / 1000,
                 ),
             )
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             raise DecodeError(f"no configuration: {error!r}") from error
 
     def target(self, name: str, value: bytes) -> Target:
@@ -101,35 +107,39 @@
             service=fields.text("service"),
             address=fields.address("address"),
             availability_zone=fields.text("zone"),
-            slots=fields.integer("slots", 1, MOST_SLOTS),
+            slots=fields.integer("slots", 1, MAX_SLOTS),
             draining=fields.choice("state", (_READY, _DRAINING)) == _DRAINING,
         )
-        # Not used here, but an entry without them was not written by a target.
+        # Unused, but an entry without these fields was not written by a target.
         fields.text("version")
         fields.number("coldLeftMs")
-        fields.integer("seq", 0, MOST_WHOLE)
-        born = self._born(fields)
+        fields.integer("seq", 0, MAX_INTEGER)
+        start_time_ms = self._start_time_ms(fields)
         fields.check()
-        return target.replace(id=incarnation_id(name, born)) if born else target
+        return (
+            target.replace(id=incarnation_id(name, start_time_ms))
+            if start_time_ms
+            else target
+        )
 
-    def _born(self, fields: Fields) -> int:
-        """Return when a target started, in ms; 0 if it does not say."""
-        return fields.integer("born", 1, MOST_WHOLE) if "born" in fields else 0
+    def _start_time_ms(self, fields: Fields) -> int:
+        """Return the start time of a target, in ms; 0 if it is not given."""
+        return fields.integer("born", 1, MAX_INTEGER) if "born" in fields else 0
 
     def load(self, body: bytes) -> TargetLoad:
         """See :meth:`Dialect.load`."""
         fields = Fields(self.load_path, body)
-        running = fields.integer("activeRequests", 0, MOST_WHOLE)
-        waiting = fields.integer("queueDepth", 0, MOST_WHOLE)
-        born = self._born(fields)
+        running = fields.integer("activeRequests", 0, MAX_INTEGER)
+        waiting = fields.integer("queueDepth", 0, MAX_INTEGER)
+        start_time_ms = self._start_time_ms(fields)
         fields.check()
-        return TargetLoad(running, waiting, born)
+        return TargetLoad(running, waiting, start_time_ms)
 
     def job(self, body: bytes) -> JobRequest:
         """See :meth:`Dialect.job`."""
         try:
             return JobRequest([_item(item) for item in orjson.loads(body)["requests"]])
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             raise DecodeError(f"no job: {error!r}") from error
 
     def results(self, page: ResultsPage) -> bytes:
@@ -145,7 +155,7 @@
         answer = {
             "total": page.total,
             "results": results,
-            # The position after the last one listed here.
+            # The position after the last result of this page.
             "nextToken": page.first + len(results),
         }
         return orjson.dumps(answer)
@@ -160,7 +170,7 @@
 
 
 def _route(fields: dict[str, Any]) -> Route:
-    kind = _KINDS[fields["kind"]]
+    kind = _KINDS_BY_NAME[fields["kind"]]
     batch = None
     if kind == BATCH:
         batch = BatchTerms(
--- a/src/caperridge/store/http.py
+++ b/src/caperridge/store/http.py
@@ -1,7 +1,7 @@
-"""The platform over HTTP: one adapter, to be replaced where the protocol differs.
+"""HTTP client of the platform; replaceable where its protocol differs.
 
-A connection error before the request was sent is *not done*. Once bytes may have
-left, only an answer tells; without one a write is *unknown*.
+A connection error before the request was sent is *not done*. Once bytes may have been
+sent, only an answer shows the outcome; without one a write is *unknown*.
 """
 
 from ssl import SSLContext
@@ -31,7 +31,7 @@
 
 DEFAULT_DEADLINE_S = 3.0
 _HTTP_CONFLICT = 409
-_HTTP_ABSENT = 404
+_HTTP_NOT_FOUND = 404
 
 
 class HttpPlatform(Platform):
@@ -39,10 +39,10 @@
 
     Args:
         endpoint: e.g. ``http://10.0.0.5:7000``.
-        availability_zone: sent along, so that the platform knows who asks.
-        secret: bearer token towards the platform; empty for none.
-        deadline_s: longest wait for one call, in seconds.
-        authority: file of the certificates to trust; empty for the system's.
+        availability_zone: of the instance; sent as a header of each call.
+        secret: bearer token for the platform; empty for none.
+        deadline_s: timeout of one call, in seconds.
+        authority: file with the trusted CA certificates; empty for the system's.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         if secret:
             self._headers["Authorization"] = f"Bearer {secret}"
         self._timeout = aiohttp.ClientTimeout(total=deadline_s)
-        # Made at the start: reading files is no work for the event loop.
+        # Created here and not in a call: reading files would block the event loop.
         secure = endpoint.startswith("https:")
         self._ssl: SSLContext | bool = client_context(authority) if secure else True
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -125,7 +125,7 @@
         if isinstance(answer, Err):
             return answer
         status, data = answer.ok_value
-        return Ok(None if status == _HTTP_ABSENT else data)
+        return Ok(None if status == _HTTP_NOT_FOUND else data)
 
     async def list_objects(
         self, prefix: str, after: str = "", limit: int = 1000
@@ -155,7 +155,8 @@
         headers: dict[str, str] | None = None,
     ) -> Result[tuple[int, bytes], Any]:
         if self._session is None:
-            # One attempt only: the library must not repeat a write by itself.
+            # The middleware makes a lost connection final: the library must not repeat
+            # a write by itself.
             connector = aiohttp.TCPConnector(limit=64, ssl=self._ssl)
             self._session = aiohttp.ClientSession(
                 timeout=self._timeout,
@@ -171,7 +172,7 @@
                 allow_redirects=False,
             ) as response:
                 data = await response.read()
-                return _judge(response, data)
+                return _classify(response, data)
         except aiohttp.ClientConnectorError as error:
             reason = f"the platform was not reached: {error.strerror}"
             return Err(NotDone(reason, reached=False))
@@ -184,10 +185,10 @@
     return "/objects/" + quote(name)
 
 
-def _judge(
+def _classify(
     response: aiohttp.ClientResponse, data: bytes
 ) -> Result[tuple[int, bytes], Any]:
-    if response.status in (200, 204, 206, _HTTP_ABSENT, _HTTP_CONFLICT):
+    if response.status in (200, 204, 206, _HTTP_NOT_FOUND, _HTTP_CONFLICT):
         return Ok((response.status, data))
     if response.status in (429, 503):
         retry_after_s = float(response.headers.get("Retry-After", "0"))
