--- a/src/caperridge/checking.py
+++ b/src/caperridge/checking.py
@@ -1,4 +1,4 @@
-"""Turning what a schema found wrong into findings with their place."""
+"""Converts validation errors of a schema to findings with their location."""
 
 import difflib
 from collections.abc import Callable, Iterable
@@ -10,7 +10,7 @@
 
 
 def did_you_mean(word: str, known: Iterable[str]) -> str:
-    """Return a hint to append to a message, or nothing.
+    """Return a hint to append to a message, or an empty text.
 
     >>> did_you_mean("modle", ["model", "kind"])
     "; did you mean 'model'?"
@@ -22,14 +22,14 @@
 
 
 def invalid_findings(
-    place: Callable[[list[str]], str], error: vol.MultipleInvalid, schema: vol.Schema
+    locate: Callable[[list[str]], str], error: vol.MultipleInvalid, schema: vol.Schema
 ) -> list[Finding]:
-    """Return the findings of a failed check, each with its dotted key.
+    """Return the findings of a failed validation, each with its dotted key.
 
     Args:
-        place: returns where the key at the end of a path stands, e.g. file and line.
-        error: what voluptuous raised.
-        schema: that it was checked with, to say which key was probably meant.
+        locate: returns where the last key of a path stands, e.g. file and line.
+        error: the error that voluptuous raised.
+        schema: the schema of the validation, for hints about misspelled keys.
 
     >>> schema = vol.Schema({"listen": {"callers": str}})
     >>> try:
@@ -42,7 +42,7 @@
     for invalid in error.errors:
         path = [str(part) for part in invalid.path]
         key = ".".join(path) or "-"
-        findings.append(Finding(place(path), key, _sentence(invalid, schema)))
+        findings.append(Finding(locate(path), key, _sentence(invalid, schema)))
     return findings
 
 
@@ -61,8 +61,8 @@
     for part in path[:-1]:
         if not isinstance(schema, dict):
             return []
-        by_name = {str(key): below for key, below in schema.items()}
-        # A table whose keys are names of the user's has one validator as its key.
+        by_name = {str(key): nested for key, nested in schema.items()}
+        # The schema of a table with user-defined keys has one validator as its key.
         schema = by_name.get(str(part), next(iter(schema.values()), None))
     if not isinstance(schema, dict):
         return []
--- a/src/caperridge/closing.py
+++ b/src/caperridge/closing.py
@@ -1,9 +1,9 @@
-"""Ending a process whose work is done.
+"""Bounded shutdown of a process whose work is done.
 
-Whatever is open then is closed by the system when the process ends, so closing it
-first is a courtesy that must cost nobody time. Neither a part that does not close nor
-what the interpreter waits for at its own end (tasks that swallow their cancellation,
-threads of the loop's executor) may keep a process that has answered everybody.
+The system closes everything that is open when the process exits, so closing it before
+is optional and its time is limited. A process that has answered all requests must not
+be delayed by a part that does not close, nor by what the interpreter waits for at exit:
+tasks that suppress their cancellation, and threads of the event loop's executor.
 """
 
 import asyncio
@@ -21,44 +21,48 @@
 
 Close = Callable[[], Awaitable[None]]
 
-# For all parts together; a planned stop leaves 0.5 s before its kill.
-CLOSE_S = 0.3
-# From then on a loop that stands still is left, too.
-STILL_S = 0.1
-# The word about it may need what stands still; nothing waits for it any longer.
-TELL_S = 0.05
-# Of where the loop stands; enough to see who called whom.
-MOST_FRAMES = 8
+# For all parts together; a planned stop leaves 0.5 s before the process is killed.
+CLOSE_TIMEOUT_S = 0.3
+# Further time after which the process exits even if its event loop is stalled.
+STALL_TIMEOUT_S = 0.1
+# Logging the stall may need a resource that the stalled loop holds, so it is limited.
+REPORT_TIMEOUT_S = 0.05
+# Innermost frames of the stalled loop that are logged; they show the calls.
+MAX_FRAMES = 8
 
 
 async def end_process(parts: Mapping[str, Close], stream: LineStream) -> NoReturn:
-    """Close ``parts`` in turn as far as there is time, and end the process.
+    """Close ``parts`` in order as far as time permits, and exit the process.
 
     Args:
-        parts: what to close, by name.
-        stream: of the log.
+        parts: functions that close each part, by name.
+        stream: stream of the log.
     """
-    _end_when_still(CLOSE_S + STILL_S)
-    took_s_by_part = await close_parts(parts, CLOSE_S)
+    _start_watchdog(CLOSE_TIMEOUT_S + STALL_TIMEOUT_S)
+    took_s_by_part = await close_parts(parts, CLOSE_TIMEOUT_S)
     log.info("instance closed", took_s=took_s_by_part)
     stream.flush()
     os._exit(0)
 
 
 async def close_parts(parts: Mapping[str, Close], within_s: float) -> dict[str, float]:
-    """Close each part; return the seconds it took.
+    """Close the parts in order; return the seconds that each took.
 
-    One that does not end is named in the log, and so ends the closing.
+    A part that does not close in time is logged, and the remaining ones are skipped.
+
+    Args:
+        parts: functions that close each part, by name.
+        within_s: time for all parts together, in seconds.
     """
     loop = asyncio.get_running_loop()
-    end = loop.time() + within_s
+    deadline = loop.time() + within_s
     took_s_by_part: dict[str, float] = {}
     for name, close in parts.items():
-        began = loop.time()
+        started_at = loop.time()
         closing = asyncio.ensure_future(close())
-        # Not a time-out around it: that would wait for the end of what it cancels.
-        await asyncio.wait({closing}, timeout=max(0.0, end - began))
-        took_s_by_part[name] = round(loop.time() - began, 3)
+        # asyncio.timeout would wait until the cancelled task has finished.
+        await asyncio.wait({closing}, timeout=max(0.0, deadline - started_at))
+        took_s_by_part[name] = round(loop.time() - started_at, 3)
         if not closing.done():
             log.warning("not closed", part=name, reason="its time is over")
             break
@@ -69,24 +73,24 @@
     return took_s_by_part
 
 
-def _end_when_still(limit_s: float) -> None:
-    """Have the process end after ``limit_s``, whatever its loop does."""
-    watched = threading.get_ident()
-    timer = threading.Timer(limit_s, _end_anyway, (watched,))
+def _start_watchdog(limit_s: float) -> None:
+    """Make the process exit after ``limit_s``, even if its event loop is stalled."""
+    loop_thread = threading.get_ident()
+    timer = threading.Timer(limit_s, _force_exit, (loop_thread,))
     timer.daemon = True
     timer.start()
 
 
-def _end_anyway(watched: int) -> NoReturn:
-    # The log has a lock, which what stands still may hold.
-    teller = threading.Thread(target=_tell_where, args=(watched,), daemon=True)
-    teller.start()
-    teller.join(TELL_S)
+def _force_exit(loop_thread: int) -> NoReturn:
+    # In a thread of its own, as the stalled loop may hold the lock of the log.
+    reporter = threading.Thread(target=_log_stack, args=(loop_thread,), daemon=True)
+    reporter.start()
+    reporter.join(REPORT_TIMEOUT_S)
     os._exit(0)
 
 
-def _tell_where(watched: int) -> None:
-    frame = sys._current_frames().get(watched)
-    frames = traceback.extract_stack(frame)[-MOST_FRAMES:]
+def _log_stack(loop_thread: int) -> None:
+    frame = sys._current_frames().get(loop_thread)
+    frames = traceback.extract_stack(frame)[-MAX_FRAMES:]
     where = [f"{one.filename}:{one.lineno} in {one.name}" for one in frames]
-    log.error("closing stands still", where=where)
+    log.error("event loop stalled during close", where=where)
--- a/src/caperridge/connections.py
+++ b/src/caperridge/connections.py
@@ -1,10 +1,10 @@
-"""The connections of an HTTP server, ended without losing a request that was read.
+"""Connection draining of an HTTP server, without losing a request that was read.
 
-Closing them is not left to the HTTP library: at its shutdown it marks a connection
-without a request as closing but leaves it open, reads whatever comes on it, and throws
-that away until the last handler has ended. A caller cannot tell such a request from one
-that ran. Here a connection is closed only while nothing is read from it and no request
-of it runs; until then it is read only while a request of it runs.
+The shutdown of the HTTP library is not used: it marks an idle connection as closing but
+leaves it open, and reads and discards what arrives on it until the last handler has
+finished. A caller cannot distinguish a discarded request from one that ran. Here a
+connection is closed only while reading is paused and none of its requests runs; until
+then, it is read only while one of its requests runs.
 """
 
 import asyncio
@@ -14,107 +14,108 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-# Turns of the loop from reading a request to its handler: one wakes the connection's
-# task and one starts the handler; the rest are spare.
-TURNS_TO_HANDLER = 5
-# Pause between looks for connections that have become idle; a stop is that much longer.
-LOOK_S = 0.05
+# Iterations of the event loop from reading a request to its handler: one wakes the task
+# of the connection and one starts the handler; the others are a margin.
+ITERATIONS_TO_HANDLER = 5
+# Interval of polling for idle connections; it lengthens a stop by as much.
+POLL_INTERVAL_S = 0.05
 
 
 class Connections:
-    """Which connections of a server have a request that is being answered.
+    """Tracks the connections of a server with a running request, and closes them.
 
     Args:
-        application: whose requests are watched; not yet served.
+        application: application whose requests are tracked; not served yet.
     """
 
     def __init__(self, application: web.Application) -> None:
         self._busy: set[RequestHandler] = set()
-        # Of those that a look has paused: where no request has begun since.
-        self._quiet: set[RequestHandler] = set()
-        self._ending = False
+        # Connections that were paused and on which no request has started since.
+        self._unused_since_pause: set[RequestHandler] = set()
+        self._closing = False
         application.middlewares.insert(0, self._middleware())
 
-    async def end_idle(self, server: web.Server) -> None:
-        """Close every connection on which no request runs.
+    async def close_idle(self, server: web.Server) -> None:
+        """Close every connection without a running request.
 
-        From now on the others are read from only while a request of theirs runs: one
-        that came after its end could have no time left.
+        From now on the others are read only while one of their requests runs, as a
+        request that arrives after that could have no time left.
         """
-        self._ending = True
+        self._closing = True
         idle = [one for one in server.connections if one not in self._busy]
-        self._quiet = set(idle)
+        self._unused_since_pause = set(idle)
         for connection in idle:
             _pause(connection)
-        # What was read before the pause has begun after it; it may have ended as well,
-        # with another request read behind it.
-        await _turns()
+        # Afterwards each request read before the pause has started. It may even have
+        # finished, with another request read after it.
+        await _run_iterations()
         for connection in idle:
-            if connection not in self._quiet:
+            if connection not in self._unused_since_pause:
                 continue
-            if _read_below(connection):
-                _resume(connection)  # a request of it begins before the next look
+            if _has_unread_tls_data(connection):
+                _resume(connection)  # its request starts before the next poll
                 continue
             connection.force_close()
-        self._quiet = set()
-        # Those that had nothing more to send are not counted as open after it.
-        await _turns()
+        self._unused_since_pause = set()
+        # Afterwards, closed connections with nothing left to send are not counted.
+        await _run_iterations()
 
-    async def end_all(self, server: web.Server, until: float) -> int:
-        """Close each connection as it becomes idle; return how many are left.
+    async def close_all(self, server: web.Server, until: float) -> int:
+        """Close each connection when it becomes idle; return how many remain open.
 
         Args:
-            server: that takes no more connections.
-            until: end of the wait, on the loop's clock.
+            server: server that accepts no more connections.
+            until: deadline on the clock of the event loop, in seconds.
         """
         loop = asyncio.get_running_loop()
         while True:
-            # Before it is asked what is left: a connection that was accepted just
-            # before the door closed is known some turns later.
-            await asyncio.sleep(LOOK_S)
-            await self.end_idle(server)
+            # First sleep: a connection accepted just before the listener closed is
+            # registered with the server some iterations later.
+            await asyncio.sleep(POLL_INTERVAL_S)
+            await self.close_idle(server)
             if not server.connections or loop.time() >= until:
                 return len(server.connections)
 
     def _middleware(self) -> Any:
         @web.middleware
-        async def watch(request: web.Request, handler: Any) -> web.StreamResponse:
+        async def track(request: web.Request, handler: Any) -> web.StreamResponse:
             connection = request.protocol
             self._busy.add(connection)
-            self._quiet.discard(connection)
-            if self._ending:
-                _resume(connection)  # its body may be still to come
+            self._unused_since_pause.discard(connection)
+            if self._closing:
+                _resume(connection)  # its body may not have arrived yet
             try:
                 response = await handler(request)
-                await finish(request, response)
+                await write_response(request, response)
                 return response
             finally:
                 self._busy.discard(connection)
-                if self._ending:
+                if self._closing:
                     _pause(connection)
 
-        return watch
+        return track
 
 
-async def finish(request: web.Request, response: web.StreamResponse) -> None:
-    """Write a whole answer, which the library else does after its handler's end."""
+async def write_response(request: web.Request, response: web.StreamResponse) -> None:
+    """Write the whole response, which the library would do after the handler."""
     if response.prepared:
         return
-    # A caller that has gone needs no answer; the library notices that, too.
+    # A caller that disconnected needs no response; the library detects that as well.
     with contextlib.suppress(ConnectionError):
         await response.prepare(request)
         await response.write_eof()
 
 
-async def _turns() -> None:
-    for _ in range(TURNS_TO_HANDLER):
+async def _run_iterations() -> None:
+    for _ in range(ITERATIONS_TO_HANDLER):
         await asyncio.sleep(0)
 
 
-def _read_below(connection: RequestHandler) -> bool:
-    """Whether TLS has read what the paused connection has not: its socket is read on.
+def _has_unread_tls_data(connection: RequestHandler) -> bool:
+    """Return whether TLS holds data that the paused connection has not read.
 
-    Closing would throw that away, and the caller could not tell.
+    TLS goes on reading the socket during a pause. Closing the connection would discard
+    that data, and the caller could not detect it.
     """
     transport = connection.transport
     if transport is None or transport.is_closing():
--- a/src/caperridge/door.py
+++ b/src/caperridge/door.py
@@ -1,28 +1,28 @@
-"""Listening sockets that close without forgetting a connection they accepted.
+"""Listening sockets that close without dropping an accepted connection.
 
-asyncio accepts a connection in one turn of the loop and makes its transport in the
-next. If its server closes between the two, the transport is never made and the
-connection stays open: nobody reads it, and its caller hears nothing until the process
-ends.
+asyncio accepts a connection in one iteration of the event loop and creates its
+transport in the next. If the server is closed in between, the transport is never
+created and the connection stays open: it is not read, and the caller gets neither
+response nor reset until the process exits.
 """
 
 import asyncio
 import ssl
 from typing import Any
 
-# Turns of the loop from accepting a connection to its protocol; the rest are spare.
-TURNS_TO_PROTOCOL = 5
+# Iterations of the event loop from accept to the protocol, with a margin.
+ITERATIONS_TO_PROTOCOL = 5
 
 
-class Door:
-    """Takes connections at one address for a server.
+class SocketListener:
+    """Accepts connections at one address.
 
     Args:
-        listening: asyncio's server.
+        server: server of asyncio.
     """
 
-    def __init__(self, listening: asyncio.Server) -> None:
-        self._listening = listening
+    def __init__(self, server: asyncio.Server) -> None:
+        self._server = server
 
     @classmethod
     async def open(
@@ -32,33 +32,33 @@
         port: int,
         tls: ssl.SSLContext | None = None,
         backlog: int = 128,
-    ) -> "Door":
-        """Begin to listen.
+    ) -> "SocketListener":
+        """Start listening.
 
         Args:
-            protocols: makes the protocol of each connection.
+            protocols: factory that creates the protocol of each connection.
             host: address to listen on.
-            port: of TCP; 0 for any.
-            tls: of connections; None for none.
-            backlog: connections that may wait to be accepted.
+            port: TCP port; 0 for any free one.
+            tls: TLS context of the connections; None for no TLS.
+            backlog: maximum number of connections queued for accept.
         """
         loop = asyncio.get_running_loop()
-        listening = await loop.create_server(
+        server = await loop.create_server(
             protocols, host, port, ssl=tls, backlog=backlog, reuse_address=True
         )
-        return cls(listening)
+        return cls(server)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port of its first socket."""
-        host, port = self._listening.sockets[0].getsockname()[:2]
+        """Host and port of the first socket."""
+        host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     async def close(self) -> None:
-        """Accept no more, and close once what was accepted has its protocol."""
+        """Stop accepting; close after each accepted connection has its protocol."""
         loop = asyncio.get_running_loop()
-        for accepting in self._listening.sockets:
-            loop.remove_reader(accepting)
-        for _ in range(TURNS_TO_PROTOCOL):
+        for listening_socket in self._server.sockets:
+            loop.remove_reader(listening_socket)
+        for _ in range(ITERATIONS_TO_PROTOCOL):
             await asyncio.sleep(0)
-        self._listening.close()
+        self._server.close()
--- a/src/caperridge/elapsed.py
+++ b/src/caperridge/elapsed.py
@@ -1,9 +1,9 @@
-"""The one clock of an instance: it counts while the machine is suspended.
+"""Clock of an instance (``CLOCK_BOOTTIME``), which includes suspensions of the machine.
 
-The steady clock stands still while a machine is suspended, and what others measure goes
-on: leases, deadlines, silence, ages. So the event loop of an instance runs by the clock
-that counts, and a suspension is to all parts what a pause of the process is: timers
-are late, and what is due is seen to be due.
+The monotonic clock stops while a machine is suspended, but what other machines measure
+goes on: leases, deadlines, silence, ages. So the event loop of an instance uses the
+clock that includes suspensions. All parts then see a suspension like a pause of the
+process: timers are late, and what became due is processed.
 """
 
 import asyncio
@@ -15,42 +15,42 @@
 
 T = TypeVar("T")
 
-# Not every system has it.
+# Not available on every system.
 _BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", None)
 _CLOCK = time.CLOCK_MONOTONIC if _BOOT_CLOCK is None else _BOOT_CLOCK
 COUNTS_SUSPENSIONS = _BOOT_CLOCK is not None
-# Two clocks are read one after the other; a busy machine comes between.
-SMALLEST_S = 0.05
+# Two clocks are read one after the other; on a busy machine time passes in between.
+MIN_SUSPENSION_S = 0.05
 
 
 class InstanceLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock counts suspensions of the machine."""
+    """Event loop whose clock includes suspensions of the machine."""
 
     def time(self) -> float:
-        """Return seconds since some moment, those of suspensions included."""
+        """Return seconds since an arbitrary start, including suspensions."""
         return time.clock_gettime(_CLOCK)
 
 
 def run(main: Coroutine[Any, Any, T]) -> T:
-    """Run ``main`` as :func:`asyncio.run` does, by the clock that counts."""
+    """Run ``main`` as :func:`asyncio.run` does, on an :class:`InstanceLoop`."""
     with asyncio.Runner(loop_factory=InstanceLoop) as runner:
         return runner.run(main)
 
 
 def elapsed_s() -> float:
-    """Return what the running loop's clock shows, or would show, in seconds."""
+    """Return the time of the running event loop, or of its clock without one, in s."""
     try:
         return asyncio.get_running_loop().time()
     except RuntimeError:
         return time.clock_gettime(_CLOCK)
 
 
-class Standstill(Record):
-    """A time in which this process did nothing.
+class Stall(Record):
+    """Period in which this process did not run.
 
     Attributes:
-        stood_s: how long.
-        suspended_s: part of it in which the machine was suspended.
+        stood_s: its duration in seconds.
+        suspended_s: part of it in which the machine was suspended, in seconds.
     """
 
     __slots__ = ("stood_s", "suspended_s")
@@ -60,21 +60,21 @@
         self.suspended_s = suspended_s
 
 
-class StandstillWatch:
-    """Finds out how late a timer was, and how much of that the steady clock missed."""
+class StallDetector:
+    """Detects stalls from late timers, and which part of them were suspensions."""
 
     def __init__(self) -> None:
         self._ahead_s = self._ahead()
 
-    def look(self, late_s: float) -> Standstill:
-        """Return what the lateness of a timer tells, since the last look."""
+    def observe(self, late_s: float) -> Stall:
+        """Return the stall since the last call; a timer was ``late_s`` too late."""
         ahead_s = self._ahead()
         suspended_s = ahead_s - self._ahead_s
         self._ahead_s = ahead_s
-        if suspended_s < SMALLEST_S:
+        if suspended_s < MIN_SUSPENSION_S:
             suspended_s = 0.0
-        return Standstill(max(late_s, suspended_s), suspended_s)
+        return Stall(max(late_s, suspended_s), suspended_s)
 
     def _ahead(self) -> float:
-        """Return by how much the loop's clock is ahead of the steady one."""
+        """Return how far the event loop's clock is ahead of the monotonic clock."""
         return elapsed_s() - time.monotonic()
--- a/src/caperridge/findings.py
+++ b/src/caperridge/findings.py
@@ -1,18 +1,18 @@
-"""Findings: what is wrong in an input, each with its place, reported together."""
+"""Validation errors of an input, each with its location, reported together."""
 
 from caperridge.records import Record
 
-WHOLE = "-"
+WHOLE_SOURCE = "-"
 
 
 class Finding(Record):
-    """One thing wrong in an input.
+    """One validation error.
 
     Attributes:
-        source: the file, request or object it was found in.
-        key: the dotted path, line number or column inside ``source``; ``WHOLE`` if
-            it is about all of it.
-        message: what is wrong, in a sentence for a person.
+        source: the file, request or object that contains the error.
+        key: the dotted path, line number or column inside ``source``; ``WHOLE_SOURCE``
+            if it concerns all of it.
+        message: human-readable description.
     """
 
     __slots__ = ("key", "message", "source")
@@ -23,13 +23,13 @@
         self.message = message
 
     def __str__(self) -> str:
-        if self.key == WHOLE:
+        if self.key == WHOLE_SOURCE:
             return f"{self.source}: {self.message}"
         return f"{self.source}: {self.key}: {self.message}"
 
 
 class FindingsError(Exception):
-    """An input was refused; carries every finding, not only the first.
+    """An input was refused; contains every finding, not only the first.
 
     >>> raise FindingsError([Finding("a.toml", "listen.port", "must be a number")])
     Traceback (most recent call last):
--- a/src/caperridge/gateway/fields.py
+++ b/src/caperridge/gateway/fields.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from caperridge.findings import WHOLE, Finding
+from caperridge.findings import WHOLE_SOURCE, Finding
 from caperridge.gateway.dialect import DecodeError
 
 MAX_PORT = 65535
@@ -35,7 +35,7 @@
         except ValueError as error:
             raise DecodeError(f"{source}: no JSON: {error}") from error
         if not isinstance(fields, dict):
-            raise DecodeError(str(Finding(source, WHOLE, "is no map")))
+            raise DecodeError(str(Finding(source, WHOLE_SOURCE, "is no map")))
         self._by_name: dict[str, Any] = fields
 
     def __contains__(self, name: str) -> bool:
--- a/src/caperridge/gateway/listeners.py
+++ b/src/caperridge/gateway/listeners.py
@@ -8,7 +8,7 @@
 from prometheus_client import CONTENT_TYPE_LATEST, CollectorRegistry, generate_latest
 
 from caperridge.connections import Connections
-from caperridge.door import Door
+from caperridge.door import SocketListener
 
 BACKLOG = 1024
 # Callers reuse connections that have been idle for most of the idle limit.
@@ -39,12 +39,12 @@
         )
         self._host = host
         self._port = port
-        self._door: Door | None = None
+        self._door: SocketListener | None = None
 
     async def start(self) -> None:
         """Start listening."""
         await self._runner.setup()
-        self._door = await Door.open(
+        self._door = await SocketListener.open(
             self._runner.server, self._host, self._port, backlog=BACKLOG
         )
 
@@ -68,7 +68,7 @@
         """
         if self._runner.server is None:
             return 0
-        return await self._connections.end_all(self._runner.server, until)
+        return await self._connections.close_all(self._runner.server, until)
 
     async def stop(self) -> None:
         """Close the listening socket and all connections."""
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -9,8 +9,8 @@
 from caperridge.decisions.quarantine import Quarantine
 from caperridge.elapsed import (
     COUNTS_SUSPENSIONS,
-    Standstill,
-    StandstillWatch,
+    Stall,
+    StallDetector,
     elapsed_s,
 )
 from caperridge.gateway.answer_limits import AnswerLimits
@@ -334,11 +334,11 @@
             await listener.stop()
 
     async def _tick(self) -> None:
-        watch = StandstillWatch()
+        watch = StallDetector()
         due = elapsed_s()
         while True:
             now = elapsed_s()
-            if not self._recover_from_stall(watch.look(now - due)):
+            if not self._recover_from_stall(watch.observe(now - due)):
                 self.mesh.check_members()
             due = now + TICK_INTERVAL_S
             self.fleet.remote_counts_stale = self.mesh.large
@@ -350,7 +350,7 @@
             self.metrics.peers_alive.set(len(self.mesh.alive()))
             await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _recover_from_stall(self, stall: Standstill) -> bool:
+    def _recover_from_stall(self, stall: Stall) -> bool:
         """Handle a stall of this process; return whether there was one.
 
         Messages that peers sent during the stall wait in the sockets. They are read
--- a/src/caperridge/gateway/settings.py
+++ b/src/caperridge/gateway/settings.py
@@ -7,7 +7,7 @@
 import voluptuous as vol
 
 from caperridge.checking import invalid_findings
-from caperridge.findings import WHOLE, Finding, FindingsError
+from caperridge.findings import WHOLE_SOURCE, Finding, FindingsError
 from caperridge.records import Record
 
 _ADDRESS = vol.All(str, vol.Match(r"^[0-9.]+:[0-9]+$", msg="must be IP:PORT"))
@@ -115,7 +115,7 @@
     try:
         text = path.read_text()
     except OSError as error:
-        raise FindingsError([Finding(str(path), WHOLE, str(error))]) from error
+        raise FindingsError([Finding(str(path), WHOLE_SOURCE, str(error))]) from error
     return parse(text, str(path))
 
 
@@ -130,7 +130,7 @@
     try:
         table: dict[str, Any] = SCHEMA(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
-        raise FindingsError([Finding(source, WHOLE, str(error))]) from error
+        raise FindingsError([Finding(source, WHOLE_SOURCE, str(error))]) from error
     except vol.MultipleInvalid as error:
         findings = invalid_findings(lambda _: source, error, SCHEMA)
         raise FindingsError(findings) from error
--- a/src/caperridge/gateway/upstream.py
+++ b/src/caperridge/gateway/upstream.py
@@ -18,7 +18,7 @@
 from caperridge.gateway.events import Event, EventSplitter
 from caperridge.gateway.open_runs import OpenRuns
 from caperridge.gateway.targets import Target
-from caperridge.no_repeat import LostOnTheWayError, loss_is_final
+from caperridge.no_repeat import LostOnTheWayError, prevent_retry
 from caperridge.records import Record
 from caperridge.refusals import NOT_RUN
 from caperridge.targets.listening import connect
@@ -354,6 +354,6 @@
                 read_bufsize=READ_BUFFER_BYTES,
                 max_line_size=READ_BUFFER_BYTES,
                 max_field_size=READ_BUFFER_BYTES,
-                middlewares=(loss_is_final,),
+                middlewares=(prevent_retry,),
             )
         return self._session
--- a/src/caperridge/instance/in_flight.py
+++ b/src/caperridge/instance/in_flight.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from caperridge.connections import finish
+from caperridge.connections import write_response
 from caperridge.instance.http_common import refusal_response
 from caperridge.records import Record
 from caperridge.refusals import NOT_RUN, UNKNOWN, Refusal
@@ -114,7 +114,7 @@
                 response = await handler(request)
                 # A whole answer is written after its handler: write it here, so that
                 # it counts as in flight until the last byte is handed over.
-                await finish(request, response)
+                await write_response(request, response)
                 return response
             finally:
                 del self.requests_by_number[entry.number]
--- a/src/caperridge/instance/listeners.py
+++ b/src/caperridge/instance/listeners.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from caperridge.connections import Connections
-from caperridge.door import Door
+from caperridge.door import SocketListener
 from caperridge.settings import Address, TlsFiles
 from caperridge.tls import server_context
 
@@ -35,13 +35,15 @@
             handler_cancellation=True,
             shutdown_timeout=CANCEL_S,
         )
-        self._door: Door | None = None
+        self._door: SocketListener | None = None
 
     async def open(self, at: Address, files: TlsFiles | None) -> Address:
         """Listen at ``at``, with TLS if there are files for it; return where."""
         await self._runner.setup()
         context = server_context(files) if files else None
-        self._door = await Door.open(self._runner.server, at.host, at.port, context)
+        self._door = await SocketListener.open(
+            self._runner.server, at.host, at.port, context
+        )
         return Address(*self._door.address)
 
     async def close(self) -> None:
@@ -51,7 +53,7 @@
         if self._runner.server is not None:
             until = asyncio.get_running_loop().time() + self._cut_after_s
             # What was accepted last is read from, too: one look would not be enough.
-            await self._connections.end_all(self._runner.server, until)
+            await self._connections.close_all(self._runner.server, until)
         await self._runner.cleanup()
 
 
--- a/src/caperridge/log.py
+++ b/src/caperridge/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard error, through logbook."""
+"""Structured logging through logbook: one JSON object per line on standard error."""
 
 import json
 import sys
@@ -14,9 +14,9 @@
 
 
 class JsonLinesHandler(logbook.StreamHandler):
-    r"""Writes each record as one JSON line; named arguments become its members.
+    r"""Writes each record as one JSON line; keyword arguments become its members.
 
-    Values from outside are escaped as JSON, so that none can begin a line.
+    JSON escapes the values, so untrusted input cannot inject a log line.
 
     >>> with JsonLinesHandler(sys.stdout).applicationbound():
     ...     logger("a").info("sent", request="r\nx")  # doctest: +ELLIPSIS
@@ -42,29 +42,29 @@
     try:
         return orjson.dumps(line, option=_OPTIONS, default=str).decode()
     except TypeError:
-        # A huge number, or a text that is no UTF-8: rare, and no reason to fail.
+        # An integer over 64 bits, or text that is not UTF-8: logging must not fail.
         return json.dumps(line, default=str)
 
 
 def logger(name: str) -> logbook.Logger:
-    """Return the logger of one module; ``name`` is its dotted name."""
+    """Return the logger of the module with the dotted name ``name``."""
     return logbook.Logger(name.removeprefix("caperridge."))
 
 
 class LineStream(Protocol):
-    """Takes whole lines of text."""
+    """Stream that accepts whole lines of text."""
 
     def write(self, text: str, /) -> int:
         """Write ``text``."""
 
     def flush(self) -> None:
-        """Hand on what was written."""
+        """Flush what was written."""
 
 
 def setup(level: str = "INFO", stream: LineStream | None = None) -> None:
-    """Send every record of at least ``level`` to ``stream`` (standard error).
+    """Write every record of at least ``level`` to ``stream`` (default: standard error).
 
-    Records of libraries, which use the standard library's loggers, go the same way.
+    Records that libraries send to the standard library's ``logging`` are included.
     """
     handler = JsonLinesHandler(stream or sys.stderr, level=level.upper(), bubble=False)
     logbook.NullHandler().push_application()
--- a/src/caperridge/no_repeat.py
+++ b/src/caperridge/no_repeat.py
@@ -1,30 +1,30 @@
-"""Keeps the HTTP library from sending a request again by itself.
+"""Client middleware that disables the automatic retries of the HTTP library.
 
-If the connection breaks before an answer, it does so for methods that are idempotent
-by name (GET, HEAD, PUT, DELETE, OPTIONS, TRACE), on a fresh connection too. Whether a
-call may be repeated is for its sender to say, so :func:`loss_is_final` hands the loss
-on as an error that the library lets pass.
+If the connection breaks before a response, the library resends requests with idempotent
+methods (GET, HEAD, PUT, DELETE, OPTIONS, TRACE), also if the connection was new. Only
+the sender can decide whether a call may be repeated, so :func:`prevent_retry` raises
+an error that the library does not retry.
 """
 
 import aiohttp
 
 
 class LostOnTheWayError(aiohttp.ClientError):
-    """The connection broke with the request under way."""
+    """The connection broke while the request was in flight."""
 
 
-async def loss_is_final(
+async def prevent_retry(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep the library from sending ``request`` again after a broken connection.
+    """Keep the library from resending ``request`` after a broken connection.
 
     Raises:
-        LostOnTheWayError: instead of the errors that the library answers by a repeat.
+        LostOnTheWayError: in place of the errors that the library retries.
     """
     try:
         return await handler(request)
     except aiohttp.ClientConnectorError:
-        # No connection, so no byte has left; the library does not repeat these.
+        # Not connected, so nothing was sent; the library does not retry these.
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
         raise LostOnTheWayError(type(error).__name__) from error
--- a/src/caperridge/platform/connections.py
+++ b/src/caperridge/platform/connections.py
@@ -12,7 +12,7 @@
 import aiohttp
 
 from caperridge.gateway.silent_sockets import enable_keepalive, set_user_timeout
-from caperridge.no_repeat import loss_is_final
+from caperridge.no_repeat import prevent_retry
 
 # Busy instances call several times per second; an idle connection costs little.
 KEEPALIVE_TIMEOUT_S = 20
@@ -78,7 +78,7 @@
             limit=0, keepalive_timeout=KEEPALIVE_TIMEOUT_S, socket_factory=_make_socket
         ),
         cookie_jar=aiohttp.DummyCookieJar(),
-        middlewares=(loss_is_final,),
+        middlewares=(prevent_retry,),
     )
 
 
--- a/src/caperridge/records.py
+++ b/src/caperridge/records.py
@@ -1,4 +1,4 @@
-"""The base of the plain data classes that travel between layers and processes."""
+"""Base class of the records that are passed between layers and processes."""
 
 from collections.abc import Mapping
 from typing import Any, ClassVar, Self
@@ -7,12 +7,11 @@
 
 
 class Record:
-    """A plain class with slots, compared and shown by its fields.
+    """Class with slots whose equality, hash and repr are based on its fields.
 
-    A subclass lists its fields in ``__slots__`` and takes them, in that order or by
-    name, in its constructor. Fields unknown to an older release are dropped on the
-    way in, and fields it does not send keep the default of the constructor, so two
-    releases can run side by side.
+    A subclass lists its fields in ``__slots__``, and its constructor accepts all of
+    them by name. :meth:`from_map` ignores unknown fields and uses the defaults of the
+    constructor for missing ones, so two releases can run side by side.
 
     >>> class Point(Record):
     ...     __slots__ = ("x", "y")
@@ -43,7 +42,7 @@
 
     @classmethod
     def from_map(cls, fields: Mapping[str, Any]) -> Self:
-        """Build a record of ``fields``, ignoring names this release does not know.
+        """Return a record with ``fields``, ignoring names unknown to this release.
 
         Raises:
             TypeError: a field without a default is missing.
@@ -73,14 +72,14 @@
 
 
 def _fields(value: Any) -> Any:
-    """Return what stands for ``value`` in msgpack; it packs what is inside itself."""
+    """Return the fields of a record; msgpack calls this for nested records as well."""
     if isinstance(value, Record):
         return {name: getattr(value, name) for name in value.__slots__}
     raise TypeError(f"{type(value).__name__} cannot be packed")
 
 
 def unpack(data: bytes) -> Any:
-    """Return the value that ``data``, one msgpack document, holds.
+    """Return the value that ``data``, one msgpack document, contains.
 
     Raises:
         ValueError: ``data`` is not one msgpack document.
--- a/src/caperridge/refusals.py
+++ b/src/caperridge/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: the one JSON error that callers and operators get."""
+"""Refusals: the JSON error response for callers and operators."""
 
 from typing import Any
 
@@ -10,16 +10,16 @@
 
 
 class Refusal(Record):
-    """Why something was not answered.
+    """Reason why a request was refused.
 
     Attributes:
-        code: short and stable, for programs, e.g. ``no_target``.
-        reason: a sentence for a person.
-        run: ``not_run``, ``unknown`` or ``ran``: what happened at a target.
-        status: of the HTTP answer.
-        retry_after_s: when it makes sense to ask again; 0 if it does not.
-        request_id: for ``caperridge explain``.
-        findings: what is wrong in the input, as maps.
+        code: short, stable and machine-readable, e.g. ``no_target``.
+        reason: human-readable sentence.
+        run: whether the request ran at a target: ``not_run``, ``unknown`` or ``ran``.
+        status: status of the HTTP response.
+        retry_after_s: delay in seconds before a retry makes sense; 0 if none does.
+        request_id: id to pass to ``caperridge explain``.
+        findings: validation errors of the input.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
         self.findings = findings or []
 
     def body(self) -> dict[str, Any]:
-        """Return the JSON body, in the shape the OpenAI clients expect."""
+        """Return the JSON body, in the format that OpenAI clients expect."""
         error = {
             "message": self.reason,
             "type": "refusal",
@@ -64,16 +64,16 @@
         return {"error": error}
 
     def headers(self) -> dict[str, str]:
-        """Return the headers of the HTTP answer."""
+        """Return the headers of the HTTP response."""
         headers = {"X-Request-Id": self.request_id} if self.request_id else {}
         if self.retry_after_s > 0:
-            # Whole seconds, rounded up: the header's grammar knows no fractions.
+            # Rounded up, as the header allows whole seconds only.
             headers["Retry-After"] = str(int(-(-self.retry_after_s // 1)))
         return headers
 
 
 class RefusedError(Exception):
-    """Raised on the way to the HTTP border, which answers with the refusal."""
+    """Carries a refusal to the HTTP layer, which responds with it."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.reason)
--- a/src/caperridge/store/http.py
+++ b/src/caperridge/store/http.py
@@ -11,7 +11,7 @@
 import aiohttp
 from result import Err, Ok, Result
 
-from caperridge.no_repeat import loss_is_final
+from caperridge.no_repeat import prevent_retry
 from caperridge.records import pack, unpack
 from caperridge.store.interface import (
     Committed,
@@ -161,7 +161,7 @@
             self._session = aiohttp.ClientSession(
                 timeout=self._timeout,
                 connector=connector,
-                middlewares=(loss_is_final,),
+                middlewares=(prevent_retry,),
             )
         try:
             async with self._session.request(
--- a/src/caperridge/targets/plain.py
+++ b/src/caperridge/targets/plain.py
@@ -5,7 +5,7 @@
 from multidict import CIMultiDict
 from result import Err, Ok, Result
 
-from caperridge.no_repeat import LostOnTheWayError, loss_is_final
+from caperridge.no_repeat import LostOnTheWayError, prevent_retry
 from caperridge.records import Record
 from caperridge.targets.outcomes import AttemptError, Lost, NotSent
 
@@ -92,7 +92,7 @@
                 # A cookie jar would send one caller's cookies with another's call.
                 cookie_jar=aiohttp.DummyCookieJar(),
                 auto_decompress=False,
-                middlewares=(loss_is_final,),
+                middlewares=(prevent_retry,),
             )
         return self._session
 
--- a/src/caperridge/tls.py
+++ b/src/caperridge/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts of the listeners and of the clients that connect to them."""
+"""TLS contexts of listeners, clients and streams between instances."""
 
 import ssl
 
@@ -9,10 +9,10 @@
     """PEM files of one listener.
 
     Attributes:
-        certificate: the own certificate, with its chain.
-        key: of that certificate.
-        authority: certificates that the other side's must be signed by; with it a
-            listener asks every client for a certificate.
+        certificate: certificate of this instance, with its chain.
+        key: private key of that certificate.
+        authority: certificates of the authorities that must have signed those of the
+            other side; if set, a listener requires client certificates.
     """
 
     __slots__ = ("authority", "certificate", "key")
@@ -27,7 +27,7 @@
     """Return the context of a listener.
 
     Raises:
-        OSError: a file cannot be read, or is no PEM file that fits the other.
+        OSError: a file cannot be read, is not a PEM file, or the key does not match.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -39,13 +39,13 @@
 
 
 def client_context(authority: str = "") -> ssl.SSLContext:
-    """Return the context of a client that checks whom it speaks to.
+    """Return the context of a client that verifies the server.
 
     Args:
-        authority: file of the certificates to trust; empty for the system's.
+        authority: file with the trusted certificates; empty for those of the system.
 
     Raises:
-        OSError: the file cannot be read, or holds no certificate.
+        OSError: the file cannot be read, or contains no certificate.
     """
     context = ssl.create_default_context(cafile=authority or None)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -55,16 +55,17 @@
 def peer_context(files: TlsFiles, purpose: ssl.Purpose) -> ssl.SSLContext:
     """Return the context of one end of a stream between instances.
 
-    Both ends show a certificate, signed by the authority if there is one, else the
-    very one that all share. Names are not compared: peers are known by address, and
-    addresses change with each replacement. The shared secret proves the rest.
+    Both ends present a certificate: one signed by the authority if there is one, else
+    the same certificate on all instances. Host names are not verified, as peers are
+    known by address, and addresses change when an instance is replaced. Identity is
+    proven by the shared secret.
 
     Args:
-        files: of this instance.
-        purpose: ``SERVER_AUTH`` where it connects, ``CLIENT_AUTH`` where it listens.
+        files: files of this instance.
+        purpose: ``SERVER_AUTH`` to connect, ``CLIENT_AUTH`` to listen.
 
     Raises:
-        OSError: a file cannot be read, or is no PEM file that fits the other.
+        OSError: a file cannot be read, is not a PEM file, or the key does not match.
     """
     authority = files.authority or files.certificate
     context = ssl.create_default_context(purpose, cafile=authority)
--- a/tests/gateway/test_ending.py
+++ b/tests/gateway/test_ending.py
@@ -122,7 +122,7 @@
 ) -> None:
     code, text = await stopped(world, tmp_path, "blocks")
     assert code == 0
-    assert '"message":"closing stands still"' in text
+    assert '"message":"event loop stalled during close"' in text
     assert "in blocks" in text
 
 
--- a/tests/gateway/test_log_stream.py
+++ b/tests/gateway/test_log_stream.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from caperridge.log_stream import MOST_WAITING_BYTES, BoundedStream
+from caperridge.log_stream import MAX_BUFFERED_BYTES, BoundedStream
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
     now = [0.0]
     stream = BoundedStream(pipe[1], lambda: now[0], lines_per_s=1e9, burst_lines=1e9)
     line = "x" * 999 + "\n"
-    for _ in range(2 * MOST_WAITING_BYTES // 1000):
+    for _ in range(2 * MAX_BUFFERED_BYTES // 1000):
         stream.write(line)
     assert stream.dropped > 0
     read = bytearray()
--- a/tests/product/test_tls_stop.py
+++ b/tests/product/test_tls_stop.py
@@ -42,13 +42,13 @@
     assert runner.server is not None
     try:
         await site.stop()
-        ending = asyncio.ensure_future(connections.end_idle(runner.server))
+        ending = asyncio.ensure_future(connections.close_idle(runner.server))
         for _ in range(turns):
             await asyncio.sleep(0)
         writer.write(REQUEST)
         await ending
         until = asyncio.get_running_loop().time() + 5.0
-        left = asyncio.ensure_future(connections.end_all(runner.server, until))
+        left = asyncio.ensure_future(connections.close_all(runner.server, until))
         async with asyncio.timeout(5):
             assert (await reader.read()).endswith(BODY)
         assert await left == 0
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -44,7 +44,7 @@
 
     async def end_all(self, within_s: float = 5.0) -> int:
         until = asyncio.get_running_loop().time() + within_s
-        return await self.connections.end_all(self.server, until)
+        return await self.connections.close_all(self.server, until)
 
     async def _echo(self, request: web.Request) -> web.Response:
         self.begun += 1
@@ -108,7 +108,7 @@
     writer.write(HEAD + b"body")
     for _ in range(turns):
         await asyncio.sleep(0)
-    await server.connections.end_idle(server.server)
+    await server.connections.close_idle(server.server)
     ending = asyncio.ensure_future(server.end_all())
     try:
         answer = await read_all(reader)
@@ -171,7 +171,7 @@
     writer.write((HEAD + b"body") * 8)
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    await server.connections.end_idle(server.server)
+    await server.connections.close_idle(server.server)
     assert await server.end_all() == 0
     answers = await read_all(reader)
     assert answers.count(b"200 OK") in (0, 8)
@@ -182,7 +182,7 @@
 ) -> None:
     """Else one that comes near the end of the wait is taken and cut."""
     look_s = 10.0  # so that it comes between the last two looks however slow this is
-    monkeypatch.setattr("caperridge.connections.LOOK_S", look_s)
+    monkeypatch.setattr("caperridge.connections.POLL_INTERVAL_S", look_s)
     clock = LoopClock()
     reader, writer = await server.connect()
     server.go.clear()
--- a/tests/test_connections_odd.py
+++ b/tests/test_connections_odd.py
@@ -36,11 +36,11 @@
     async def end_all(self, within_s: float = 5.0) -> int:
         assert self.runner.server is not None
         until = asyncio.get_running_loop().time() + within_s
-        return await self.connections.end_all(self.runner.server, until)
+        return await self.connections.close_all(self.runner.server, until)
 
     async def end_idle(self) -> None:
         assert self.runner.server is not None
-        await self.connections.end_idle(self.runner.server)
+        await self.connections.close_idle(self.runner.server)
 
     async def _echo(self, request: web.Request) -> web.Response:
         self.begun += 1
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from caperridge.door import Door
+from caperridge.door import SocketListener
 
 GREETING = b"hello"
 
@@ -24,7 +24,7 @@
 async def test_whoever_connects_when_it_closes_is_served_or_reset(turns: int) -> None:
     """At whatever turn of the loop it closes; asyncio alone forgets a caller at one."""
     loop = asyncio.get_running_loop()
-    door = await Door.open(Greeter, "127.0.0.1", 0)
+    door = await SocketListener.open(Greeter, "127.0.0.1", 0)
     caller = socket.create_connection(door.address)
     caller.setblocking(False)
     for _ in range(turns):
@@ -37,7 +37,7 @@
 
 
 async def test_nobody_is_let_in_once_it_is_closed() -> None:
-    door = await Door.open(Greeter, "127.0.0.1", 0)
+    door = await SocketListener.open(Greeter, "127.0.0.1", 0)
     address = door.address
     await door.close()
     with pytest.raises(ConnectionRefusedError):
