--- a/src/caperridge/peers/flooding.py
+++ b/src/caperridge/peers/flooding.py
@@ -37,7 +37,7 @@
 
 
 class SeenMessages:
-    """Bounded record of flooded messages, to detect duplicates; evicts the oldest first.
+    """Bounded record of flooded messages, to drop duplicates; evicts the oldest first.
 
     >>> seen = SeenMessages(max_messages=1)
     >>> seen.add(JobNews("j", "open")), seen.add(JobNews("j", "open"))
