--- a/src/caperridge/decisions/batch_share.py
+++ b/src/caperridge/decisions/batch_share.py
@@ -76,7 +76,8 @@
 
     A first token takes the rest of a step, its own step and its prefill. If it takes
     several steps more, the request queued in the engine: another sender fills it,
-    e.g. a second dispatcher. Each late token costs batch a stream for
+    e.g. a second dispatcher. Each late token withholds one more stream
+    from batch. After the last late token, one stream is given back every
     :data:`GUARD_RECOVERY_S`.
 
     Attributes:
--- a/src/caperridge/decisions/job_reads.py
+++ b/src/caperridge/decisions/job_reads.py
@@ -10,8 +10,8 @@
 - soon after an update with a gap, and after a hint that no update followed,
 - soon after a digest of the open jobs that differs from their own.
 
-Changes carry the sequence numbers of the row, so updates from two readers, late or
-duplicated updates and updates with a gap are update apart without knowing the sender.
+Changes carry the sequence numbers of the row, so that updates from two readers, late
+or duplicated updates and updates with a gap are recognised without knowing the sender.
 """
 
 import enum
--- a/src/caperridge/decisions/turn_rate.py
+++ b/src/caperridge/decisions/turn_rate.py
@@ -7,7 +7,7 @@
 
 from math import exp
 
-DECAY_S = 5.0
+DECAY_S = 5.0  # time constant
 MIN_OBSERVED_S = 1.0
 
 
@@ -47,8 +47,8 @@
     def interval_s(self, now: float) -> float:
         """Return the seconds per dequeued request; 0 while too little is known.
 
-        The next request counts as one, so that a service that dequeues none is seen as
-        slow, but with a finite estimate.
+        The next request counts as dequeued, so that a service that dequeues none is
+        seen as slow but is not given up for good: the estimate stays finite.
         """
         self.observe(now, self._waiting)
         if self._seconds < MIN_OBSERVED_S:
--- a/tests/batch/batch_world.py
+++ b/tests/batch/batch_world.py
@@ -41,7 +41,7 @@
 
 
 class HeldChunk:
-    """A chunk that an instance believes to hold, and the items that it finished."""
+    """A chunk that an instance believes it holds, and the items that it finished."""
 
     def __init__(self, chunk: Chunk, state: ChunkState, session: str) -> None:
         self.chunk = chunk
@@ -136,9 +136,12 @@
             self.do(sessions.lapse_session(self.platform, name, version))
 
     def claim(self, node: Node, size: int, stale: bool = False) -> bool:
-        """Claim what the planner chooses; return whether there was something to do.
+        """Claim what the planner chooses, or complete a job whose chunks are all done.
 
         A stale claim is only planned now and carried out by :meth:`claim_planned`.
+
+        Returns:
+            Whether a claim succeeded or was planned, or a job was to be completed.
         """
         if node.paused or node.lease.remaining_s(self.now) <= 0:
             return False
--- a/tests/configuration/test_operators_cli.py
+++ b/tests/configuration/test_operators_cli.py
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def directory(tmp_path: Path) -> Path:
-    """Return a directory with a declaration that renames one caller or service."""
+    """Return a directory with a declaration that renames the service ``lookup``."""
     (tmp_path / "all.toml").write_text(DECLARATION.replace("lookup", "search"))
     return tmp_path
 
--- a/tests/configuration/world.py
+++ b/tests/configuration/world.py
@@ -138,7 +138,7 @@
         self.memory = MemoryPlatform(self.clock)
         self.members_by_name: dict[str, Member] = {}
         self.cut_zones: set[str] = set()
-        self.links: set[frozenset[str]] | None = None  # links of zones; None for all
+        self.links: set[frozenset[str]] | None = None  # across zones; None for all
         self.started = 0
 
     def clock(self) -> float:
--- a/tests/headroom/test_fleet.py
+++ b/tests/headroom/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleets and load schedules that benchmarks use."""
+"""Tests of the fleets and load schedules that benchmarks use."""
 
 from caperridge.measure.fleet import FleetShape, running_fleet
 from caperridge.measure.load import LoadShape, run_load, schedule
--- a/tests/orders/test_order_machine.py
+++ b/tests/orders/test_order_machine.py
@@ -1,7 +1,7 @@
 """State machine of orderers with paused holders, late orders and ended sessions.
 
-It guards against a target that accepts an older fencing number, loses its last serving
-runner, or does not reach its desired state.
+It guards against a target that accepts an older fencing number or does not reach its
+desired state, and against a service that loses its last serving runner.
 """
 
 import asyncio
--- a/tests/orders/world.py
+++ b/tests/orders/world.py
@@ -264,7 +264,7 @@
         assert any(other.serves for other in others), "the last runner is taken away"
 
     def _released_by(self, former: str) -> set[str]:
-        """Return the targets whose lease ``former`` no longer believes to hold."""
+        """Return the targets whose lease ``former`` no longer believes it holds."""
         orderer = self.members_by_name[former].orderer
         session = orderer._session.session_id
         return {
