--- a/src/caperridge/decisions/plain_calls.py
+++ b/src/caperridge/decisions/plain_calls.py
@@ -16,7 +16,7 @@
 LOST = "lost"
 
 MAX_ATTEMPTS = 3
-# Longer than any call takes and than the clocks of instances differ.
+# Longer than any call takes, and than the clocks of two instances may differ.
 MAX_RUNNING_S = 120.0
 RETRY_AFTER_S = 1.0
 KEY_RETENTION_S = 7 * 86400.0
--- a/src/caperridge/decisions/quarantine.py
+++ b/src/caperridge/decisions/quarantine.py
@@ -162,5 +162,8 @@
 
 
 def _eviction_order(suspect: Suspect) -> tuple[bool, int]:
-    """Order by value: unquarantined first, then by crashes, then least recent."""
+    """Return the sort key of evictions: unquarantined first, then fewest crashes.
+
+    Suspects with the same key are evicted by age, the least recently reported first.
+    """
     return suspect.hold is not None, len(suspect.crashes)
--- a/src/caperridge/decisions/target_state.py
+++ b/src/caperridge/decisions/target_state.py
@@ -9,10 +9,10 @@
 from caperridge.store.interface import ListedMember
 
 REPORT_TTL_S = 5.0
-REPORT_DECAY_S = 0.2  # for reports that arrive once a second
-HERD_FACTOR = 10
+REPORT_DECAY_S = 0.2  # time constant, for reports that arrive once a second
+HERD_FACTOR = 10  # requests of other instances for each new one of this instance
 MAX_HERD_RATIO = 3.0  # of the usual load
-LATENCY_HALF_LIFE_S = 5.0
+LATENCY_HALF_LIFE_S = 5.0  # hyperbolic decay: a half at this age, a third at twice
 LATENCY_GAIN = 0.3
 
 SEQUENCE_DELAY_S = 0.02  # delay that one more sequence causes the others at its target
