--- a/src/caperridge/decisions/reconcile.py
+++ b/src/caperridge/decisions/reconcile.py
@@ -64,7 +64,7 @@
 class Step(Enum):
     """The next step for a target."""
 
-    NOTHING = "nothing"  # it holds the desired state
+    NOTHING = "nothing"  # it holds the desired state, or is leaving
     WAIT = "wait"  # it has accepted the order and is loading
     ORDER = "order"  # send an order; the target keeps serving meanwhile
     ORDER_OUT = "order_out"  # send an order; it stops serving online meanwhile or after
--- a/tests/batch/job_pair.py
+++ b/tests/batch/job_pair.py
@@ -1,4 +1,4 @@
-"""Two instances before one platform, each with a zone and engines of its own."""
+"""Two instances on one platform, each with its own zone and engines."""
 
 import asyncio
 import time
@@ -29,8 +29,8 @@
 class Pair:
     """The fleet's instance in one zone, and another in a second one.
 
-    They have no connection to each other: what one knows of the other's deeds it
-    has from the platform.
+    They have no connection to each other: each learns of the other's actions only
+    from the platform.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -79,13 +79,13 @@
         return job
 
     async def ended(self, job: Job, state: str) -> None:
-        """Wait until the job's row says ``state``."""
+        """Wait until the job's row has ``state``."""
         async with asyncio.timeout(60.0):
             while (await read_job(self.fleet.memory, job.id)).unwrap().state != state:
                 await asyncio.sleep(0.05)
 
     async def results(self, job: Job, failed: bool = False) -> dict[str, Any]:
-        """Return the results by ``custom_id``; each must be there once."""
+        """Return the results by ``custom_id``; none may occur twice."""
         results_by_id: dict[str, Any] = {}
         async for piece in stream_results(self.fleet.memory, job, failed):
             for line in piece.unwrap().splitlines():
--- a/tests/batch/test_checkpoints.py
+++ b/tests/batch/test_checkpoints.py
@@ -1,4 +1,4 @@
-"""What is saved of a chunk reaches its next holder: results, and faults of items."""
+"""Checkpoints of a chunk reach its next holder, with results and faults of items."""
 
 import time
 
--- a/tests/batch/test_committer.py
+++ b/tests/batch/test_committer.py
@@ -1,4 +1,4 @@
-"""Giving chunks back over a lease that ends meanwhile."""
+"""Tests of returned chunks when the lease expires before the return is written."""
 
 from caperridge import keys
 from caperridge.decisions.chunks import Chunk
@@ -16,7 +16,7 @@
 
 
 class World:
-    """An instance that holds one chunk and was told to give it back."""
+    """An instance that holds one chunk and was asked to return it."""
 
     def __init__(self) -> None:
         self.now = 0.0
--- a/tests/batch/test_dispatcher.py
+++ b/tests/batch/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""What the dispatcher says of its lease."""
+"""Tests of the dispatcher's log messages about its lease."""
 
 import time
 
--- a/tests/batch/test_files.py
+++ b/tests/batch/test_files.py
@@ -1,4 +1,4 @@
-"""Uploaded files: kept while a job refers to them, gone after their retention."""
+"""Uploaded files: kept while a job refers to them, then deleted after retention."""
 
 from collections.abc import AsyncIterator
 
@@ -159,7 +159,7 @@
 async def test_an_upload_that_was_given_up_is_not_acknowledged(
     memory: MemoryPlatform, clock: Clock
 ) -> None:
-    """Its own clock stood still, so only the row can tell."""
+    """The clock of the upload stands still, so only the row shows that it is too old."""
     sending = Upload()
 
     async def between(number: int) -> None:
--- a/tests/batch/test_jobs_end_to_end.py
+++ b/tests/batch/test_jobs_end_to_end.py
@@ -1,4 +1,4 @@
-"""Jobs over several instances and engines: killers, cancels, a holder cut off."""
+"""Jobs on several instances and engines: crashing items, cancels, a partition."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,7 +14,7 @@
 
 ITEMS = 1000
 TOKENS = 40
-SLOW = 500.0  # what runs then takes some 20 s more
+SLOW = 500.0  # running items then take about 20 s more
 
 
 def engines_of(pair: Pair) -> list[Engine]:
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 async def pair(fleet: Fleet, listen: Listen) -> AsyncIterator[Pair]:
-    """Two instances that both may run batch."""
+    """Yield two instances that may both run batch."""
     pair = Pair(fleet)
     await pair.start(listen)
     yield pair
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 async def restarted(pair: Pair) -> AsyncIterator[list[Engine]]:
-    """All engines, started again when they were killed, as a supervisor would."""
+    """Yield all engines; each is restarted after a kill, as by a supervisor."""
     engines = engines_of(pair)
 
     async def watch(engine: Engine) -> None:
@@ -124,7 +124,7 @@
 ) -> None:
     job, committed = await begun_and_slow(pair)
     pair.platform.cut = True
-    # It cannot hear of this, nor of the chunks that others take over.
+    # The holder cannot learn of this, nor of the chunks that others take over.
     await fleet.post(f"/v1/batches/{job.id}/cancel", {})
     await until(lambda: not pair.one.streams.running)
     assert pair.two.streams.running or pair.two.session.left_s() <= 0
--- a/tests/batch/test_session_watcher.py
+++ b/tests/batch/test_session_watcher.py
@@ -1,4 +1,4 @@
-"""Who watches the sessions of a zone, and that nobody's word ends one early."""
+"""Which instance watches the sessions of a zone; no report ends a session early."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -119,7 +119,7 @@
 
 
 async def test_one_that_takes_over_counts_from_its_own_first_look(zone: Zone) -> None:
-    """The old watcher had seen the session stand still for most of the lease."""
+    """The old watcher had seen the session unrenewed for most of the lease."""
     await zone.open()
     await zone.look(looks(LEASE_S))
     for view in zone.views:
--- a/tests/batch/test_sweeper.py
+++ b/tests/batch/test_sweeper.py
@@ -1,4 +1,4 @@
-"""What is past its retention goes, and nothing else."""
+"""Tests that the sweeper deletes exactly what is past its retention."""
 
 from collections.abc import Iterable
 
