--- a/src/caperridge/queries/facts.py
+++ b/src/caperridge/queries/facts.py
@@ -14,7 +14,7 @@
     platform: Platform,
     operator: str,
     targets: Iterable[ListedMember],
-    book: LoadedStates,
+    loaded_states: LoadedStates,
 ) -> PlanContext:
     """Return the context of a plan as known to this instance.
 
@@ -22,13 +22,13 @@
         platform: where the open jobs are read.
         operator: who requests the plan.
         targets: the platform's list of targets.
-        book: what they last reported to hold.
+        loaded_states: what they last reported to hold.
     """
     runners: list[Runner] = []
     for member in targets:
         if member.state == "leaving":
             continue
-        state = book.by_target.get(member.id)
+        state = loaded_states.by_target.get(member.id)
         loaded = state.loaded if state is not None else None
         runners.append(Runner(member.id, member.service, member.region, loaded))
     runners.sort(key=lambda runner: runner.id)
--- a/tests/batch/test_files.py
+++ b/tests/batch/test_files.py
@@ -159,7 +159,7 @@
 async def test_an_upload_that_was_given_up_is_not_acknowledged(
     memory: MemoryPlatform, clock: Clock
 ) -> None:
-    """The clock of the upload stands still, so only the row shows that it is too old."""
+    """The clock of the upload stands still, so only the row shows its age."""
     sending = Upload()
 
     async def between(number: int) -> None:
--- a/tests/configuration/test_order.py
+++ b/tests/configuration/test_order.py
@@ -100,31 +100,32 @@
 def test_a_delta_applies_to_its_base_only(
     base: int, version: int, offer: OfferResult
 ) -> None:
-    order = ConfigurationVersions()
-    order.offer(with_callers("a").replace(version=4))
+    versions = ConfigurationVersions()
+    versions.offer(with_callers("a").replace(version=4))
     delta = Delta(base, version)
-    assert order.offer_delta(delta, packed(delta)) is offer
-    assert order.current.version == (5 if offer is OfferResult.APPLIED else 4)
+    assert versions.offer_delta(delta, packed(delta)) is offer
+    assert versions.current.version == (5 if offer is OfferResult.APPLIED else 4)
 
 
 def test_a_lower_whole_version_is_not_taken() -> None:
-    order = ConfigurationVersions()
-    order.offer(with_callers("a").replace(version=4))
-    assert order.offer(with_callers("b").replace(version=3)) is OfferResult.OLD
-    assert order.offer(with_callers("b").replace(version=4)) is OfferResult.OLD
-    assert "a" in order.current.callers_by_name
+    versions = ConfigurationVersions()
+    versions.offer(with_callers("a").replace(version=4))
+    assert versions.offer(with_callers("b").replace(version=3)) is OfferResult.OLD
+    assert versions.offer(with_callers("b").replace(version=4)) is OfferResult.OLD
+    assert "a" in versions.current.callers_by_name
 
 
 def test_deltas_for_peers_are_bounded() -> None:
-    order = ConfigurationVersions()
+    versions = ConfigurationVersions()
     for version in range(1, MAX_DELTAS + 20):
         delta = Delta(version - 1, version)
-        order.offer_delta(delta, packed(delta))
-    assert order.deltas_since(1) is None
+        versions.offer_delta(delta, packed(delta))
+    assert versions.deltas_since(1) is None
     assert (
-        len(order.deltas_since(order.current.version - MAX_DELTAS) or []) == MAX_DELTAS
+        len(versions.deltas_since(versions.current.version - MAX_DELTAS) or [])
+        == MAX_DELTAS
     )
-    assert order.deltas_since(order.current.version) == []
+    assert versions.deltas_since(versions.current.version) == []
 
 
 async def test_a_fresh_reader_needs_one_snapshot_and_few_rows(world: World) -> None:
--- a/tests/headroom/test_batch_streams.py
+++ b/tests/headroom/test_batch_streams.py
@@ -74,27 +74,27 @@
 @asynccontextmanager
 async def saturated(items: int = 20) -> AsyncIterator[SaturatedFleet]:
     async with running_fleet(FleetShape(engines=1, costs=COSTS)) as fleet:
-        bed = SaturatedFleet(fleet)
-        bed.submit(items)
-        await until(lambda: bed.batch_running() >= MAX_RUNNING - 1)
-        yield bed
+        world = SaturatedFleet(fleet)
+        world.submit(items)
+        await until(lambda: world.batch_running() >= MAX_RUNNING - 1)
+        yield world
 
 
 async def test_online_preempts_batch_and_batch_completes_whole() -> None:
-    async with saturated() as bed:
-        figures = await bed.send_online(5)
+    async with saturated() as world:
+        figures = await world.send_online(5)
         assert (figures.answered, figures.failed) == (5, 0)
-        assert bed.preemption_count() >= 4
-        await until(lambda: len(bed.errors_by_request) == len(bed.works))
-        bed.check_complete()
+        assert world.preemption_count() >= 4
+        await until(lambda: len(world.errors_by_request) == len(world.works))
+        world.check_complete()
 
 
 async def test_an_online_request_has_its_place_at_the_engine_within_a_few_steps() -> (
     None
 ):
-    async with saturated() as bed:
+    async with saturated() as world:
         waits: list[int] = []
-        submit = bed.engine.submit
+        submit = world.engine.submit
 
         def watch(sequence: Any) -> Any:
             queue = submit(sequence)
@@ -105,49 +105,49 @@
             return queue
 
         def check_waiting(attempt: str) -> None:
-            waits.append(sum(s.attempt == attempt for s in bed.engine.model.waiting))
+            waits.append(sum(s.attempt == attempt for s in world.engine.model.waiting))
 
-        bed.engine.submit = watch
-        await bed.send_online(4, tokens=20)
+        world.engine.submit = watch
+        await world.send_online(4, tokens=20)
         assert waits == [0, 0, 0, 0]
 
 
-async def news_of_a_peer(bed: SaturatedFleet) -> None:
+async def news_of_a_peer(world: SaturatedFleet) -> None:
     for sequence, in_flight in enumerate([1, 3, MAX_RUNNING], 1):
         news = OnlineNews("entry-9", "runner-1", in_flight, sequence)
-        bed.streams.online_changed(
+        world.streams.online_changed(
             news.target, news.instance, news.in_flight, news.sequence
         )
-    assert bed.batch_running() == 0
+    assert world.batch_running() == 0
 
 
-async def news_of_the_lease(bed: SaturatedFleet) -> None:
-    items = list(bed.works)
-    bed.streams.drop_all()
-    assert bed.batch_running() == 0
+async def news_of_the_lease(world: SaturatedFleet) -> None:
+    items = list(world.works)
+    world.streams.drop_all()
+    assert world.batch_running() == 0
     for work in items:
-        if work.request not in bed.errors_by_request:
-            bed.streams.submit(work)
+        if work.request not in world.errors_by_request:
+            world.streams.submit(work)
 
 
-async def a_cut_stream(bed: SaturatedFleet) -> None:
-    bed.engine.faults.cut_after = 3
+async def a_cut_stream(world: SaturatedFleet) -> None:
+    world.engine.faults.cut_after = 3
     await asyncio.sleep(0.1)
-    bed.engine.faults.cut_after = 0
+    world.engine.faults.cut_after = 0
 
 
-async def the_runner_goes_to_a_peer(bed: SaturatedFleet) -> None:
-    members = list(bed.fleet.members_by_id.values())
+async def the_runner_goes_to_a_peer(world: SaturatedFleet) -> None:
+    members = list(world.fleet.members_by_id.values())
     names = iter(f"entry-{n}" for n in range(2, 99))
-    membership = bed.instance.membership
+    membership = world.instance.membership
     while membership.owner("runner-1", "oviedo") == "entry-1":
         peer = ListedMember(next(names), "instance", "127.0.0.1:1", "oviedo")
         members.append(peer)
         membership.apply_list(members)
-    bed.fleet.platform.set_members(members)
-    await until(lambda: bed.batch_running() == 0)
-    assert any(0 < len(work.texts) < TOKENS for work in bed.works)
-    bed.fleet.platform.set_members(list(bed.fleet.members_by_id.values()))
+    world.fleet.platform.set_members(members)
+    await until(lambda: world.batch_running() == 0)
+    assert any(0 < len(work.texts) < TOKENS for work in world.works)
+    world.fleet.platform.set_members(list(world.fleet.members_by_id.values()))
 
 
 @pytest.mark.parametrize(
@@ -157,29 +157,29 @@
 async def test_a_disturbed_item_has_each_token_once(
     disturb: Callable[[SaturatedFleet], Any],
 ) -> None:
-    async with saturated() as bed:
+    async with saturated() as world:
         # An item that fails is submitted again, as the dispatcher does.
-        finished = bed.streams.finished
+        finished = world.streams.finished
 
         def resubmit(work: ItemWork, error: Any) -> None:
-            finished(work, None) if error is None else bed.streams.submit(work)
+            finished(work, None) if error is None else world.streams.submit(work)
 
-        bed.streams.finished = resubmit
-        await until(lambda: sum(len(work.texts) > 4 for work in bed.works) >= 4)
-        tokens_before = [len(work.texts) for work in bed.works]
-        await disturb(bed)
-        for work, tokens in zip(bed.works, tokens_before, strict=True):
+        world.streams.finished = resubmit
+        await until(lambda: sum(len(work.texts) > 4 for work in world.works) >= 4)
+        tokens_before = [len(work.texts) for work in world.works]
+        await disturb(world)
+        for work, tokens in zip(world.works, tokens_before, strict=True):
             assert len(work.texts) >= tokens
-        await until(lambda: len(bed.errors_by_request) == len(bed.works), 15.0)
-        bed.check_complete()
+        await until(lambda: len(world.errors_by_request) == len(world.works), 15.0)
+        world.check_complete()
 
 
 async def test_a_cancelled_job_leaves_nothing_at_the_engine() -> None:
-    async with saturated() as bed:
-        bed.streams.cancel_job("j")
-        await until(lambda: bed.at_engine == 0)
+    async with saturated() as world:
+        world.streams.cancel_job("j")
+        await until(lambda: world.at_engine == 0)
         await asyncio.sleep(0.05)
-        assert bed.at_engine == 0
+        assert world.at_engine == 0
         readers = [str(task.get_coro()) for task in asyncio.all_tasks()]
         assert not [reader for reader in readers if "BatchStreams._run" in reader]
-        assert bed.streams.state()["waiting_by_service"] == {SERVICE: 0}
+        assert world.streams.state()["waiting_by_service"] == {SERVICE: 0}
--- a/tests/orders/test_order_machine.py
+++ b/tests/orders/test_order_machine.py
@@ -69,7 +69,7 @@
         self.world.end_session(self.pick(pick))
 
     @rule(pick=PICK, version=st.sampled_from("123"))
-    def rob(self, pick: int, version: str) -> None:
+    def take_over_early(self, pick: int, version: str) -> None:
         """Let another instance take over while the holder still relies on its lease."""
         holder = self.pick(pick)
         holder.paused = True
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -151,18 +151,18 @@
 
 
 def test_older_news_of_a_target_are_ignored() -> None:
-    book = LoadedStates()
-    assert book.apply("r1", LoadedState(2, 5, NORTH_1, held=True))
-    assert not book.apply("r1", LoadedState(1, 9, NORTH_2))
-    assert not book.apply("r1", LoadedState(2, 5, NORTH_2))
+    states = LoadedStates()
+    assert states.apply("r1", LoadedState(2, 5, NORTH_1, held=True))
+    assert not states.apply("r1", LoadedState(1, 9, NORTH_2))
+    assert not states.apply("r1", LoadedState(2, 5, NORTH_2))
     service = Service("chat", model="north")
-    assert book.closed_to_online("r1", service)
-    assert not book.closed_to_online("r2", service)
-    assert book.closed_to_batch("r1")
-    assert book.apply("r1", LoadedState(3, 1, NORTH_2))
-    assert not book.closed_to_online("r1", service)
-    book.retain({"r2"})
-    assert not book.by_target
+    assert states.closed_to_online("r1", service)
+    assert not states.closed_to_online("r2", service)
+    assert states.closed_to_batch("r1")
+    assert states.apply("r1", LoadedState(3, 1, NORTH_2))
+    assert not states.closed_to_online("r1", service)
+    states.retain({"r2"})
+    assert not states.by_target
 
 
 @pytest.fixture
--- a/tests/policy/test_run_lengths.py
+++ b/tests/policy/test_run_lengths.py
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture
-def lengths() -> RunStatistics:
+def statistics() -> RunStatistics:
     """Statistics after ten items of the same length."""
     statistics = RunStatistics()
     for _ in range(10):
@@ -49,41 +49,47 @@
     assert effective_due(20.0, 0.0, 19.9) == 20.0
 
 
-def test_what_is_left_shrinks_with_each_event(lengths: RunStatistics) -> None:
-    remaining = [lengths.remaining_s(TOKENS, events) for events in (0, 100, 200, 300)]
+def test_what_is_left_shrinks_with_each_event(statistics: RunStatistics) -> None:
+    remaining = [
+        statistics.remaining_s(TOKENS, events) for events in (0, 100, 200, 300)
+    ]
     assert remaining == pytest.approx([6.0, 3.0, 0.0, 0.0])
 
 
-def test_short_runs_tell_nothing_of_the_pace(lengths: RunStatistics) -> None:
-    before = lengths.event_s
-    lengths.record_run(MIN_EVENTS - 1, 5.0)
-    lengths.record_answer(MIN_EVENTS - 1, 0.001)
-    assert lengths.event_s == before
-    assert lengths.online_s == 0.0
+def test_short_runs_tell_nothing_of_the_pace(statistics: RunStatistics) -> None:
+    before = statistics.event_s
+    statistics.record_run(MIN_EVENTS - 1, 5.0)
+    statistics.record_answer(MIN_EVENTS - 1, 0.001)
+    assert statistics.event_s == before
+    assert statistics.online_s == 0.0
 
 
-def test_newer_runs_replace_what_was_known(lengths: RunStatistics) -> None:
+def test_newer_runs_replace_what_was_known(statistics: RunStatistics) -> None:
     for _ in range(40):
-        lengths.record_run(EVENTS, EVENTS * EVENT_S * 4)
-    assert lengths.event_s == pytest.approx(EVENT_S * 4, rel=0.05)
+        statistics.record_run(EVENTS, EVENTS * EVENT_S * 4)
+    assert statistics.event_s == pytest.approx(EVENT_S * 4, rel=0.05)
 
 
-def test_a_peer_s_word_fills_what_is_not_known_here(lengths: RunStatistics) -> None:
+def test_a_peer_s_word_fills_what_is_not_known_here(statistics: RunStatistics) -> None:
     fresh = RunStatistics()
-    fresh.merge(lengths.to_fields())
-    assert fresh == lengths
+    fresh.merge(statistics.to_fields())
+    assert fresh == statistics
     own = RunStatistics(event_s=1.0)
-    own.merge(lengths.to_fields())
+    own.merge(statistics.to_fields())
     assert own.event_s == 1.0
-    assert own.stretch == lengths.stretch
+    assert own.stretch == statistics.stretch
 
 
 @pytest.mark.parametrize("fields", [[], ["x", None], [0.5, True, -1.0], [[]] * 9])
 def test_what_another_release_tells_does_no_harm(fields: list[object]) -> None:
-    lengths = RunStatistics()
-    lengths.merge(fields)
-    assert lengths.online_s in (0.0, 0.5)
-    assert (lengths.events_per_token, lengths.event_s, lengths.stretch) == (0, 0, 0)
+    statistics = RunStatistics()
+    statistics.merge(fields)
+    assert statistics.online_s in (0.0, 0.5)
+    assert (statistics.events_per_token, statistics.event_s, statistics.stretch) == (
+        0,
+        0,
+        0,
+    )
 
 
 @given(
@@ -94,13 +100,13 @@
 def test_what_is_left_is_never_negative(
     completed: list[tuple[int, int]], events: int
 ) -> None:
-    lengths = RunStatistics()
+    statistics = RunStatistics()
     for tokens, events_made in completed:
-        lengths.record_run(events_made, events_made * EVENT_S)
-        lengths.record_item(tokens, events_made, 0.0)
+        statistics.record_run(events_made, events_made * EVENT_S)
+        statistics.record_item(tokens, events_made, 0.0)
     assert (
-        lengths.remaining_s(TOKENS, events)
-        >= lengths.remaining_s(TOKENS, events + 1)
+        statistics.remaining_s(TOKENS, events)
+        >= statistics.remaining_s(TOKENS, events + 1)
         >= 0
     )
 
@@ -139,14 +145,14 @@
 
 
 def test_the_longest_of_late_is_kept_through_many_short_runs() -> None:
-    lengths = RunStatistics()
-    lengths.record_answer(MIN_EVENTS, 4.0, queued=True)
-    assert lengths.online_s == 0.0
+    statistics = RunStatistics()
+    statistics.record_answer(MIN_EVENTS, 4.0, queued=True)
+    assert statistics.online_s == 0.0
     for _ in range(20):
-        lengths.record_answer(MIN_EVENTS, 1.0)
-    assert 2.5 < lengths.longest_s < 4.0
-    lengths.record_answer(MIN_EVENTS, 5.0)
-    assert lengths.longest_s == 5.0
+        statistics.record_answer(MIN_EVENTS, 1.0)
+    assert 2.5 < statistics.longest_s < 4.0
+    statistics.record_answer(MIN_EVENTS, 5.0)
+    assert statistics.longest_s == 5.0
     for _ in range(500):
-        lengths.record_answer(MIN_EVENTS, 1.0)
-    assert lengths.longest_s < 1.1
+        statistics.record_answer(MIN_EVENTS, 1.0)
+    assert statistics.longest_s < 1.1
