--- a/src/caperridge/commands/confirm_intent.py
+++ b/src/caperridge/commands/confirm_intent.py
@@ -48,10 +48,11 @@
     Attributes:
         version: number of the version.
         operator: who confirmed it.
-        already: an earlier call confirmed it; its answer may have been lost.
-        configuration: the version itself; None if an earlier call confirmed it.
-        delta: delta from the version before; None if an earlier call confirmed it or
-            if peers have to read the whole version.
+        already: this call added no version, since an earlier call confirmed the plan
+            (its answer may have been lost) or the plan is empty.
+        configuration: the version itself; None if ``already``.
+        delta: delta from the version before; None if ``already`` or if peers have to
+            read the whole version.
     """
 
     __slots__ = ("already", "configuration", "delta", "operator", "version")
--- a/src/caperridge/decisions/admission.py
+++ b/src/caperridge/decisions/admission.py
@@ -50,8 +50,9 @@
 class CallerWaits:
     """Estimates how long callers of one route have waited before an attempt.
 
-    A caller sends its remaining deadline. If most callers of a route send the same, one
-    that sends less is assumed to have waited for the difference in earlier attempts.
+    A caller sends its remaining deadline. If at least :data:`MIN_USUAL_RATIO` of the
+    recent callers of a route send the same, one that sends less is assumed to have
+    waited for the difference in earlier attempts.
     """
 
     __slots__ = ("_count_by_deadline", "_recent_deadlines")
--- a/src/caperridge/decisions/effects.py
+++ b/src/caperridge/decisions/effects.py
@@ -218,7 +218,11 @@
             self.warnings.append(text)
 
     def add_operators(self) -> None:
-        """Add the operators that lose access; warn if the requesting one does."""
+        """Add the operators that lose access.
+
+        Warns if the requesting operator loses access or gets another token, and if no
+        operator remains.
+        """
         before, after = self._current.operators_by_name, self._wanted.operators_by_name
         own = self._context.operator
         if own in before and own not in after:
--- a/tests/configuration/test_configuration_machine.py
+++ b/tests/configuration/test_configuration_machine.py
@@ -1,7 +1,7 @@
 """State machine of configuration replication, with an oracle of confirmed versions.
 
-It guards against versions that go down, differ between instances, are lost, or are in
-force without having been confirmed, while instances are cut off, paused or replaced.
+It guards against versions that go down, stay different between instances, are lost, or
+differ from what was confirmed, while instances are cut off, paused or replaced.
 """
 
 import asyncio
--- a/tests/orders/test_order_machine.py
+++ b/tests/orders/test_order_machine.py
@@ -1,7 +1,8 @@
 """State machine of orderers with paused holders, late orders and ended sessions.
 
-It guards against a target that accepts an older fencing number or does not reach its
-desired state, and against a service that loses its last serving runner.
+It guards against two instances that may order one target at the same time, a target
+that accepts an older fencing number or does not reach its desired state, and a service
+that loses its last serving runner.
 """
 
 import asyncio
