--- a/src/caperridge/platform/connections.py
+++ b/src/caperridge/platform/connections.py
@@ -1,8 +1,8 @@
-"""Connections to the store that are kept between calls, and given up together.
+"""Connection pool of the store client, replaced as a whole after a lost answer.
 
-A kept connection may have gone silent without a reset, and so may all others that were
-open at that moment. Each would cost the next call its whole time-out, so after a call
-without an answer the idle ones are left behind; new ones are opened.
+A keep-alive connection may have stopped responding without a reset, and so may all
+others that were open at that moment. Each would cost the next call its whole timeout,
+so after a call without an answer no further call uses them; new ones are opened.
 """
 
 import contextlib
@@ -14,16 +14,17 @@
 from caperridge.gateway.silent_sockets import enable_keepalive, set_user_timeout
 from caperridge.no_repeat import loss_is_final
 
-# Instances with work call several times a second; an idle connection costs little.
-KEPT_S = 20
-# The store acknowledges within some milliseconds, however long its answer takes.
-UNACKNOWLEDGED_MS = 1000
+# Busy instances call several times per second; an idle connection costs little.
+KEEPALIVE_TIMEOUT_S = 20
+# The store's host acknowledges data within milliseconds, even if the answer takes
+# longer.
+USER_TIMEOUT_MS = 1000
 
 
-class KeptConnections:
-    """Gives out sessions of the HTTP library; one at a time is current.
+class SessionPool:
+    """Hands out sessions of the HTTP library; new calls use the current one.
 
-    An earlier one lives until its last call has ended.
+    A retired session is closed when its last call has finished.
     """
 
     def __init__(self) -> None:
@@ -31,23 +32,23 @@
         self._calls_by_session: dict[aiohttp.ClientSession, int] = {}
 
     @contextlib.asynccontextmanager
-    async def used(self) -> AsyncIterator[aiohttp.ClientSession]:
-        """Give the current session for one call."""
+    async def acquire(self) -> AsyncIterator[aiohttp.ClientSession]:
+        """Yield the current session for one call."""
         session = self._current
         if session is None:
-            session = self._current = _session()
+            session = self._current = _make_session()
             self._calls_by_session[session] = 0
         self._calls_by_session[session] += 1
         try:
             yield session
         finally:
-            await self._returned(session)
+            await self._release(session)
 
-    def suspect(self, session: aiohttp.ClientSession) -> bool:
-        """Give no more calls to ``session``: one of its calls got no answer.
+    def retire(self, session: aiohttp.ClientSession) -> bool:
+        """Use ``session`` for no further calls, as one of its calls got no answer.
 
         Returns:
-            whether it was the current one, so that nobody knew of it yet.
+            False if it had been retired before.
         """
         if self._current is not session:
             return False
@@ -61,7 +62,7 @@
             await session.close()
         self._calls_by_session.clear()
 
-    async def _returned(self, session: aiohttp.ClientSession) -> None:
+    async def _release(self, session: aiohttp.ClientSession) -> None:
         calls = self._calls_by_session.get(session)
         if calls is None:
             return
@@ -71,19 +72,19 @@
             await session.close()
 
 
-def _session() -> aiohttp.ClientSession:
+def _make_session() -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
-            limit=0, keepalive_timeout=KEPT_S, socket_factory=_watched_socket
+            limit=0, keepalive_timeout=KEEPALIVE_TIMEOUT_S, socket_factory=_make_socket
         ),
         cookie_jar=aiohttp.DummyCookieJar(),
         middlewares=(loss_is_final,),
     )
 
 
-def _watched_socket(address: aiohttp.AddrInfoType) -> socket.socket:
+def _make_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = address
-    made = socket.socket(family, kind, protocol)
-    set_user_timeout(made, UNACKNOWLEDGED_MS)
-    enable_keepalive(made)
-    return made
+    created = socket.socket(family, kind, protocol)
+    set_user_timeout(created, USER_TIMEOUT_MS)
+    enable_keepalive(created)
+    return created
