--- a/src/caperridge/config/__init__.py
+++ b/src/caperridge/config/__init__.py
@@ -1,1 +1,1 @@
-"""Declarations, and the versioned configuration made of them."""
+"""Parsing and validation of declarations; the versioned configuration."""
--- a/src/caperridge/config/checks.py
+++ b/src/caperridge/config/checks.py
@@ -1,4 +1,4 @@
-"""What is wrong between the parts of a configuration: names that lead nowhere."""
+"""Referential integrity checks of a configuration: undeclared names, shared tokens."""
 
 from collections.abc import Callable
 
@@ -6,29 +6,29 @@
 from caperridge.config.model import Configuration, Service
 from caperridge.findings import Finding
 
-Place = Callable[[str], str]
-"""Returns the file and line of a dotted key."""
+KeyLocator = Callable[[str], str]
+"""Returns ``file:line`` of a dotted key."""
 
 
-def check(
-    configuration: Configuration, place: Place = lambda _key: "declarations"
+def check_configuration(
+    configuration: Configuration, locate: KeyLocator = lambda _key: "declarations"
 ) -> list[Finding]:
-    """Return every finding.
+    """Return all findings about references between declarations.
 
     Args:
-        configuration: as declared.
-        place: where a key stands.
+        configuration: the parsed declarations.
+        locate: returns where a dotted key is declared.
     """
     findings: list[Finding] = []
     for service in configuration.services_by_name.values():
         if service.kind == "engine":
-            _check_engine(configuration, service, place, findings)
+            _check_engine(configuration, service, locate, findings)
     for adapter in configuration.adapters_by_name.values():
         if adapter.model not in configuration.models_by_name:
             hint = did_you_mean(adapter.model, configuration.models_by_name)
             key = f"adapters.{adapter.name}.model"
             text = f"model {adapter.model!r} is not declared{hint}"
-            findings.append(Finding(place(key), key, text))
+            findings.append(Finding(locate(key), key, text))
     for caller in configuration.callers_by_name.values():
         key = f"callers.{caller.name}.services"
         for service_name in caller.services:
@@ -36,15 +36,15 @@
                 continue
             hint = did_you_mean(service_name, configuration.services_by_name)
             text = f"service {service_name!r} is not declared{hint}"
-            findings.append(Finding(place(key), key, text))
-    _check_tokens(configuration, place, findings)
+            findings.append(Finding(locate(key), key, text))
+    _check_tokens(configuration, locate, findings)
     return findings
 
 
 def _check_engine(
     configuration: Configuration,
     service: Service,
-    place: Place,
+    locate: KeyLocator,
     findings: list[Finding],
 ) -> None:
     key = f"services.{service.name}"
@@ -52,13 +52,13 @@
     if model is None:
         hint = did_you_mean(service.model, configuration.models_by_name)
         text = f"model {service.model!r} is not declared{hint}"
-        findings.append(Finding(place(f"{key}.model"), f"{key}.model", text))
+        findings.append(Finding(locate(f"{key}.model"), f"{key}.model", text))
         return
     if service.version not in model.gb_by_version:
         declared = ", ".join(sorted(model.gb_by_version))
         text = f"version {service.version!r} of {model.name!r} is not declared"
         text += f" (declared: {declared})"
-        findings.append(Finding(place(f"{key}.version"), f"{key}.version", text))
+        findings.append(Finding(locate(f"{key}.version"), f"{key}.version", text))
     for name in service.adapters:
         adapter = configuration.adapters_by_name.get(name)
         if adapter is not None and adapter.model == service.model:
@@ -67,13 +67,13 @@
         if adapter is None:
             hint = did_you_mean(name, configuration.adapters_by_name)
             text = f"adapter {name!r} is not declared{hint}"
-        findings.append(Finding(place(f"{key}.adapters"), f"{key}.adapters", text))
+        findings.append(Finding(locate(f"{key}.adapters"), f"{key}.adapters", text))
 
 
 def _check_tokens(
-    configuration: Configuration, place: Place, findings: list[Finding]
+    configuration: Configuration, locate: KeyLocator, findings: list[Finding]
 ) -> None:
-    """Two callers, or two operators, with one token cannot be told apart."""
+    """Add a finding per token shared by callers or operators: it identifies neither."""
     for table in ("callers", "operators"):
         names_by_digest: dict[str, str] = {}
         for name, item in getattr(configuration, f"{table}_by_name").items():
@@ -82,4 +82,4 @@
                 continue
             key = f"{table}.{name}.token_sha256"
             text = f"is the token of {other!r} too"
-            findings.append(Finding(place(key), key, text))
+            findings.append(Finding(locate(key), key, text))
--- a/src/caperridge/config/declarations.py
+++ b/src/caperridge/config/declarations.py
@@ -1,7 +1,7 @@
-"""Declarations: TOML files under version control, read into a configuration.
+"""Schema validation of the declarations: TOML files parsed into a configuration.
 
-Files in one directory are read in name order and together make one configuration;
-the same name declared twice is a finding.
+The files of a directory are read in order of their names and form one configuration.
+A name that is declared twice is a finding.
 """
 
 import tomllib
@@ -11,9 +11,9 @@
 import voluptuous as vol
 
 from caperridge.checking import invalid_findings
-from caperridge.config.checks import check
-from caperridge.config.model import KINDS_BY_FIELD, Configuration
-from caperridge.config.places import Places
+from caperridge.config.checks import check_configuration
+from caperridge.config.model import TYPES_BY_FIELD, Configuration
+from caperridge.config.places import LineIndex
 from caperridge.findings import Finding, FindingsError
 
 _NAME = vol.All(str, vol.Match(r"^[A-Za-z0-9._-]{1,64}$", msg="must be a plain name"))
@@ -57,68 +57,69 @@
 
 
 def parse(texts_by_file: Mapping[str, str]) -> Configuration:
-    """Return the configuration, without a version, that the files declare.
+    """Return the configuration declared by the files, with version 0.
 
     Args:
         texts_by_file: TOML text by file name.
 
     Raises:
-        FindingsError: with every finding of every file.
+        FindingsError: the declarations are invalid; has the findings of all files.
     """
     findings: list[Finding] = []
     maps_by_table: dict[str, dict[str, Any]] = {}
-    places_by_key: dict[str, Places] = {}
+    indexes_by_key: dict[str, LineIndex] = {}
     for file, text in sorted(texts_by_file.items()):
-        places = Places(file, text)
-        for table, items in _read(places, text, findings).items():
+        index = LineIndex(file, text)
+        for table, items in _parse_file(index, text, findings).items():
             known = maps_by_table.setdefault(table, {})
             for name, item in items.items():
                 key = f"{table}.{name}"
                 if name in known:
-                    first = places_by_key[key].of([table, name])
-                    told = f"is declared twice, first in {first}"
-                    findings.append(Finding(places.of([table, name]), key, told))
+                    first = indexes_by_key[key].locate([table, name])
+                    message = f"is declared twice, first in {first}"
+                    findings.append(Finding(index.locate([table, name]), key, message))
                     continue
                 known[name] = item
-                places_by_key[key] = places
+                indexes_by_key[key] = index
     if findings:
         raise FindingsError(findings)
 
-    def place(key: str) -> str:
-        path = _path(key, places_by_key)
-        return places_by_key[f"{path[0]}.{path[1]}"].of(path)
+    def locate_key(key: str) -> str:
+        path = _split_key(key, indexes_by_key)
+        return indexes_by_key[f"{path[0]}.{path[1]}"].locate(path)
 
-    configuration = _build(maps_by_table)
-    findings = check(configuration, place)
+    configuration = _build_configuration(maps_by_table)
+    findings = check_configuration(configuration, locate_key)
     if findings:
         raise FindingsError(findings)
     return configuration
 
 
-def _path(key: str, places_by_key: Mapping[str, Places]) -> list[str]:
-    """Split a dotted key whose second part, a name, may hold dots itself."""
+def _split_key(key: str, indexes_by_key: Mapping[str, LineIndex]) -> list[str]:
+    """Split a dotted key; its second part, a declared name, may itself have dots."""
     table, _, rest = key.partition(".")
     name, _, field = rest.rpartition(".")
-    if f"{table}.{name}" in places_by_key:
+    if f"{table}.{name}" in indexes_by_key:
         return [table, name, field]
     return [table, rest]
 
 
-def _read(places: Places, text: str, findings: list[Finding]) -> dict[str, Any]:
+def _parse_file(index: LineIndex, text: str, findings: list[Finding]) -> dict[str, Any]:
     try:
         return _SCHEMA(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
-        findings.append(Finding(places.of([]), "-", str(error)))
+        findings.append(Finding(index.locate([]), "-", str(error)))
     except vol.MultipleInvalid as error:
-        findings.extend(invalid_findings(places.of, error, _SCHEMA))
+        findings.extend(invalid_findings(index.locate, error, _SCHEMA))
     return {}
 
 
-def _build(maps_by_table: dict[str, dict[str, Any]]) -> Configuration:
+def _build_configuration(maps_by_table: dict[str, dict[str, Any]]) -> Configuration:
     tables: dict[str, Any] = {}
-    for field, kind in KINDS_BY_FIELD.items():
+    for field, record_type in TYPES_BY_FIELD.items():
         items = maps_by_table.get(field.removesuffix("_by_name"), {})
         tables[field] = {
-            name: kind.from_map({"name": name, **item}) for name, item in items.items()
+            name: record_type.from_map({"name": name, **item})
+            for name, item in items.items()
         }
     return Configuration(**tables)
--- a/src/caperridge/config/model.py
+++ b/src/caperridge/config/model.py
@@ -1,4 +1,4 @@
-"""The configuration in force: what the declarations say, as checked records."""
+"""Record types of the versioned configuration, with its msgpack decoding."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 from caperridge.records import Record
 
-FORMAT = 1  # raised by a release that adds a table or a field to a declaration
+FORMAT = 1  # incremented by releases that add a table or a field to declarations
 DEFAULT_STORE = "default"
 DEFAULT_GB_PER_S = 1.0
 
@@ -15,17 +15,18 @@
     """A service that callers may use.
 
     Attributes:
-        name: as in the declaration and, for plain services, in the path.
+        name: name in the declaration and, for plain services, in the URL path.
         kind: ``engine`` or ``plain``.
-        model: the model an engine service runs; empty for plain ones.
-        version: the version of that model that should be loaded.
-        adapters: adapters that its runners should hold.
-        repeatable: whether a call may be sent twice.
-        checks_fencing: whether its targets refuse an old fencing number.
-        believes_not_run: whether its targets' "not run" answers are to be believed.
-        batch_weight: the trade: 0 favours the online tail, 1 batch throughput.
-        most_running: requests one target runs at once before it queues.
-        batch_runners: how many of its runners take batch only; the rest take both.
+        model: model of an engine service; empty for plain services.
+        version: desired version of that model.
+        adapters: adapters that its runners should load.
+        repeatable: whether a call may be sent more than once (idempotent).
+        checks_fencing: whether its targets reject an outdated fencing token.
+        believes_not_run: whether to trust its targets' "not run" answers.
+        batch_weight: 0 favours online tail latency, 1 batch throughput.
+        most_running: concurrent requests per target, beyond which it queues.
+        batch_runners: number of runners that take only batch work; the others
+            take both.
     """
 
     __slots__ = (
@@ -70,9 +71,9 @@
 
 
 class WeightStore(Record):
-    """Where weights are loaded from, named as its region; ``default`` for all others.
+    """A store of weights, named by its region; ``default`` serves all other regions.
 
-    Its rate is shared by all runners that load at once.
+    All runners that load at the same time share ``gb_per_s`` (GB per second).
     """
 
     __slots__ = ("gb_per_s", "name")
@@ -83,7 +84,7 @@
 
 
 class Model(Record):
-    """A model; ``gb_by_version`` has the size of each version in GB."""
+    """A model; ``gb_by_version`` is the size of each version in GB."""
 
     __slots__ = ("gb_by_version", "name")
 
@@ -93,7 +94,7 @@
 
 
 class Adapter(Record):
-    """An adapter of a model, with its size in GB."""
+    """An adapter of a model; ``gb`` is its size in GB."""
 
     __slots__ = ("gb", "model", "name")
 
@@ -107,13 +108,13 @@
     """A team that sends requests and jobs.
 
     Attributes:
-        name: unique.
-        token_sha256: hex digest of its token; the token itself is not kept.
-        services: names it may use; ``*`` for all.
+        name: unique name.
+        token_sha256: hex digest of its token; the token itself is not stored.
+        services: names of the services it may use; ``*`` for all.
         requests_per_s: rate limit; 0 for none.
-        tokens_per_s: limit on tokens asked for; 0 for none.
-        most_running: requests at once; 0 for no limit.
-        share: its weight against other callers under overload.
+        tokens_per_s: rate limit of requested tokens; 0 for none.
+        most_running: maximum of concurrent requests; 0 for no limit.
+        share: weight relative to other callers under overload.
     """
 
     __slots__ = (
@@ -138,7 +139,7 @@
     ) -> None:
         self.name = name
         self.token_sha256 = token_sha256
-        # Not copied, as thousands of callers may share one list; nobody changes it.
+        # Not copied: thousands of callers may share one list, and it is never modified.
         self.services = services or ["*"]
         self.requests_per_s = requests_per_s
         self.tokens_per_s = tokens_per_s
@@ -151,7 +152,7 @@
 
 
 class Operator(Record):
-    """A person who may confirm intents, known by the digest of a token."""
+    """A person who may confirm intents, identified by the digest of a token."""
 
     __slots__ = ("name", "token_sha256")
 
@@ -160,34 +161,36 @@
         self.token_sha256 = token_sha256
 
 
-class _Shared:
-    """Values that many callers have alike, kept once for all of them."""
+class _ValueInterner:
+    """Interns equal numbers and lists of many callers to save memory."""
 
-    __slots__ = ("_lists_by_names", "_numbers")
+    __slots__ = ("_lists_by_elements", "_numbers_by_value")
 
     def __init__(self) -> None:
-        self._numbers: dict[float, float] = {}
-        self._lists_by_names: dict[tuple[str, ...], list[str]] = {}
+        self._numbers_by_value: dict[float, float] = {}
+        self._lists_by_elements: dict[tuple[str, ...], list[str]] = {}
 
-    def fields(self, name: str, item: dict[str, Any]) -> dict[str, Any]:
-        """Return ``item`` with the values that are held already."""
-        fields = {field: self._one(value) for field, value in item.items()}
+    def intern_fields(self, name: str, item: dict[str, Any]) -> dict[str, Any]:
+        """Return ``item`` with its values replaced by interned ones."""
+        fields = {field: self._intern(value) for field, value in item.items()}
         if fields.get("name") == name:
             fields["name"] = name
         return fields
 
-    def _one(self, value: Any) -> Any:
+    def _intern(self, value: Any) -> Any:
         if isinstance(value, float):
-            return self._numbers.setdefault(value, value)
-        if isinstance(value, list) and all(isinstance(one, str) for one in value):
-            return self._lists_by_names.setdefault(tuple(value), value)
+            return self._numbers_by_value.setdefault(value, value)
+        if isinstance(value, list) and all(
+            isinstance(element, str) for element in value
+        ):
+            return self._lists_by_elements.setdefault(tuple(value), value)
         return value
 
 
 class Configuration(Record):
-    """One version of everything declared, by name.
+    """One version of all declarations, by name.
 
-    Version 0 is the empty configuration that a new installation starts from.
+    Version 0 is the empty configuration of a new installation.
     """
 
     __slots__ = (
@@ -220,14 +223,14 @@
 
     @classmethod
     def from_map(cls, fields: dict[str, Any]) -> "Configuration":
-        """Return the configuration that :meth:`to_map` made ``fields`` of."""
-        shared = _Shared()
+        """Return the configuration from ``fields`` as made by :meth:`to_map`."""
+        interner = _ValueInterner()
         tables = {
             field: {
-                name: kind.from_map(shared.fields(name, item))
+                name: record_type.from_map(interner.intern_fields(name, item))
                 for name, item in fields.get(field, {}).items()
             }
-            for field, kind in KINDS_BY_FIELD.items()
+            for field, record_type in TYPES_BY_FIELD.items()
         }
         return cls(version=fields["version"], **tables)
 
@@ -235,47 +238,47 @@
     def from_bytes(cls, data: bytes) -> "Configuration":
         """Return the configuration that is packed in ``data``.
 
-        It is read thing by thing: the maps of thousands of callers together would take
-        more memory than what is made of them, and the heap keeps what it once took.
+        Records are unpacked one by one: the maps of thousands of callers together take
+        more memory than the records, and the process does not return freed heap.
 
         Raises:
-            ValueError: ``data`` is no packed configuration.
-            TypeError: a thing in it lacks a field.
+            ValueError: ``data`` is not a packed configuration.
+            TypeError: a record in it lacks a field.
         """
         unpacker = msgpack.Unpacker(raw=False, strict_map_key=False)
         unpacker.feed(data)
-        shared = _Shared()
+        interner = _ValueInterner()
         fields: dict[str, Any] = {}
         try:
             for _ in range(unpacker.read_map_header()):
                 field = unpacker.unpack()
-                kind = KINDS_BY_FIELD.get(field)
-                if kind is None:
+                record_type = TYPES_BY_FIELD.get(field)
+                if record_type is None:
                     fields[field] = unpacker.unpack()
                     continue
                 table = fields[field] = {}
                 for _ in range(unpacker.read_map_header()):
                     name = unpacker.unpack()
-                    item = shared.fields(name, unpacker.unpack())
-                    table[name] = kind.from_map(item)
+                    item = interner.intern_fields(name, unpacker.unpack())
+                    table[name] = record_type.from_map(item)
             version = fields["version"]
         except (msgpack.UnpackException, AttributeError, KeyError) as error:
-            raise ValueError("this is no packed configuration") from error
+            raise ValueError("data is not a packed configuration") from error
         if unpacker.tell() != len(data):
-            raise ValueError("something follows the packed configuration")
-        tables = {field: fields.get(field, {}) for field in KINDS_BY_FIELD}
+            raise ValueError("data has trailing bytes after the packed configuration")
+        tables = {field: fields.get(field, {}) for field in TYPES_BY_FIELD}
         return cls(version=version, **tables)
 
     def weight_store(self, region: str) -> WeightStore:
-        """Return the weight store of a region."""
+        """Return the weight store of ``region``, or the default one."""
         stores = self.weight_stores_by_name
         fallback = WeightStore(DEFAULT_STORE, DEFAULT_GB_PER_S)
         return stores.get(region) or stores.get(DEFAULT_STORE) or fallback
 
     def service_for_model(self, model: str) -> Service | None:
-        """Return the engine service that callers mean by ``model``.
+        """Return the engine service for the ``model`` field of a request.
 
-        Callers may name the service, the model, or an adapter of the service.
+        The field may name the service, its model, or one of its adapters.
         """
         found = self.services_by_name.get(model)
         if found is not None and found.kind == "engine":
@@ -288,7 +291,7 @@
         return None
 
 
-KINDS_BY_FIELD: dict[str, type[Record]] = {
+TYPES_BY_FIELD: dict[str, type[Record]] = {
     "services_by_name": Service,
     "models_by_name": Model,
     "adapters_by_name": Adapter,
--- a/src/caperridge/decisions/configuration_order.py
+++ b/src/caperridge/decisions/configuration_order.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any
 
-from caperridge.config.model import KINDS_BY_FIELD, Configuration
+from caperridge.config.model import TYPES_BY_FIELD, Configuration
 from caperridge.records import Record
 
 MAX_DELTAS = 64  # held in memory to answer peers that are a few versions behind
@@ -64,7 +64,7 @@
 def make_delta(before: Configuration, after: Configuration) -> Delta:
     """Return the changes from ``before`` to ``after``."""
     delta = Delta(before.version, after.version)
-    for field in KINDS_BY_FIELD:
+    for field in TYPES_BY_FIELD:
         old, new = getattr(before, field), getattr(after, field)
         changed = {
             name: item.to_map() for name, item in new.items() if old.get(name) != item
@@ -89,7 +89,7 @@
         text = f"a delta on {delta.base_version} does not apply to {base.version}"
         raise ValueError(text)
     tables: dict[str, Any] = {}
-    for field, kind in KINDS_BY_FIELD.items():
+    for field, kind in TYPES_BY_FIELD.items():
         changed = delta.set_by_field.get(field, {})
         removed = delta.removed_by_field.get(field, [])
         if not changed and not removed:
--- a/src/caperridge/decisions/plans.py
+++ b/src/caperridge/decisions/plans.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from caperridge.config.model import KINDS_BY_FIELD, Configuration
+from caperridge.config.model import TYPES_BY_FIELD, Configuration
 from caperridge.records import Record, pack
 
 
@@ -82,7 +82,7 @@
 def _canonical(wanted: Configuration) -> list[Any]:
     """Return the content in an order independent of that of the declaration."""
     content: list[Any] = []
-    for field in sorted(KINDS_BY_FIELD):
+    for field in sorted(TYPES_BY_FIELD):
         items = getattr(wanted, field)
         content.append([field, [items[name] for name in sorted(items)]])
     return content
@@ -91,7 +91,7 @@
 def changes_between(before: Configuration, after: Configuration) -> list[Change]:
     """Return the differences between two versions, in a fixed order."""
     changes: list[Change] = []
-    for field in KINDS_BY_FIELD:
+    for field in TYPES_BY_FIELD:
         table = field.removesuffix("_by_name")
         changes.extend(_changes(table, getattr(before, field), getattr(after, field)))
     return changes
--- a/src/caperridge/settings.py
+++ b/src/caperridge/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one process: TOML in, a checked object or all findings out."""
+"""Schema validation of the settings of one process, read from a TOML file."""
 
 import os
 import tomllib
@@ -14,7 +14,7 @@
 
 
 class Address(Record):
-    """Where to listen or connect; port 0 asks the system for one."""
+    """Host and port to listen on or connect to; port 0 lets the system choose."""
 
     __slots__ = ("host", "port")
 
@@ -27,10 +27,10 @@
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Return the address that ``text``, ``host:port``, names.
+        """Return the address in ``text``, which has the form ``host:port``.
 
         Raises:
-            ValueError: there is no port, or it is no number from 0 to 65535.
+            ValueError: the port is missing or is not a number from 0 to 65535.
 
         >>> Address.parse("127.0.0.1:80")
         Address(host='127.0.0.1', port=80)
@@ -42,30 +42,33 @@
 
 
 class Settings(Record):
-    """What one instance is told when it starts.
+    """Settings of one instance, fixed at its start.
 
     Attributes:
-        instance_id: its name in the platform's list; a new one for each replacement.
-        availability_zone: where it runs.
-        region: the region of that availability zone.
+        instance_id: its name in the platform's list of members; each replacement
+            gets a new one.
+        availability_zone: availability zone that it runs in.
+        region: region of that availability zone.
         callers: listener for callers.
         operators: listener for operators, metrics and health.
         peers: listener for other instances.
-        platform_endpoint: URL of the platform.
-        platform_secret: bearer token towards it.
-        platform_deadline_s: longest wait for one platform call.
-        platform_authority: file of the certificates to trust in the platform's;
-            empty for the system's.
-        peers_secret: shared by all instances; without one there are no peers.
-        peer_seeds: listeners of peers to try beside those in the platform's list,
-            for a start while the platform is away.
-        lease_s: how long a session lasts without renewal.
-        drain_s: how long a planned stop waits for streams.
-        balancer_s: how long the balancer needs to move on after not-ready.
+        platform_endpoint: base URL of the platform.
+        platform_secret: bearer token for the platform.
+        platform_deadline_s: timeout of one platform call.
+        platform_authority: file of the certificate authorities trusted for the
+            platform; empty for those of the system.
+        peers_secret: secret shared by all instances; if empty, the instance connects
+            to no peers.
+        peer_seeds: listeners of peers to try in addition to the platform's list,
+            so that an instance can start while the platform is unavailable.
+        lease_s: lifetime of a session without renewal.
+        drain_s: longest wait for open streams during a planned stop.
+        balancer_s: time that the load balancer needs to stop routing to an
+            instance that reports not-ready.
         retention_s: how long finished jobs stay readable.
-        log_level: of the JSON lines.
-        first_operator_sha256: digest of the token that may confirm while the
-            configuration declares no operator yet.
+        log_level: minimum level of the JSON log lines.
+        first_operator_sha256: hex SHA-256 of the token that may confirm intents
+            until the configuration declares an operator.
         tls_by_listener: TLS files by ``callers``, ``operators`` and ``peers``.
     """
 
@@ -184,10 +187,11 @@
 
     Args:
         path: a TOML file.
-        environment: where ``secret_env`` is looked up; the process's by default.
+        environment: variables that ``secret_env`` refers to; those of the process
+            by default.
 
     Raises:
-        FindingsError: with every finding, each with file, table and key.
+        FindingsError: the file is invalid; has all findings with file, table and key.
     """
     environment = dict(os.environ) if environment is None else environment
     try:
@@ -202,27 +206,28 @@
         checked = _SCHEMA(table)
     except vol.MultipleInvalid as error:
         findings = invalid_findings(lambda _: str(path), error, _SCHEMA)
-    # Files and variables are looked at also where a key is wrong: all at once.
+    # Files and variables are checked even if the schema is violated, so that one run
+    # reports all findings.
     secrets_by_table = {
-        name: _secret(path, name, _table(table, name), environment, findings)
+        name: _read_secret(path, name, _subtable(table, name), environment, findings)
         for name in ("platform", "peers")
     }
-    authority = _authority(path, _table(table, "platform"), findings)
-    tls_by_listener = _tls(path, _table(table, "tls"), findings)
+    authority = _read_authority(path, _subtable(table, "platform"), findings)
+    tls_by_listener = _read_tls(path, _subtable(table, "tls"), findings)
     if findings:
         raise FindingsError(findings)
-    settings = _settings(checked, secrets_by_table)
+    settings = _build_settings(checked, secrets_by_table)
     settings.tls_by_listener = tls_by_listener
     settings.platform_authority = authority
     return settings
 
 
-def _table(table: dict[str, Any], name: str) -> dict[str, Any]:
-    found = table.get(name, {})
-    return found if isinstance(found, dict) else {}
+def _subtable(table: dict[str, Any], name: str) -> dict[str, Any]:
+    subtable = table.get(name, {})
+    return subtable if isinstance(subtable, dict) else {}
 
 
-def _authority(path: Path, table: dict[str, Any], findings: list[Finding]) -> str:
+def _read_authority(path: Path, table: dict[str, Any], findings: list[Finding]) -> str:
     if not isinstance(table.get("authority"), str):
         return ""
     authority = str(path.parent / table["authority"])
@@ -234,20 +239,27 @@
     return authority
 
 
-def _tls(
+def _read_tls(
     path: Path, table: dict[str, Any], findings: list[Finding]
 ) -> dict[str, TlsFiles]:
-    """Return the TLS files by listener, tried out, relative to the settings file."""
+    """Return the TLS files by listener; add findings for those that cannot be loaded.
+
+    Paths are relative to the settings file.
+    """
     files_by_listener: dict[str, TlsFiles] = {}
     for name, fields in table.items():
         if not isinstance(fields, dict) or not {"certificate", "key"} <= fields.keys():
             continue
-        found = {key: str(path.parent / str(at)) for key, at in fields.items()}
-        missing = [key for key, at in found.items() if not Path(at).is_file()]
+        paths_by_key = {
+            key: str(path.parent / str(file)) for key, file in fields.items()
+        }
+        missing = [
+            key for key, file in paths_by_key.items() if not Path(file).is_file()
+        ]
         for key in missing:
-            text = f"there is no file {found[key]}"
+            text = f"there is no file {paths_by_key[key]}"
             findings.append(Finding(str(path), f"tls.{name}.{key}", text))
-        files = TlsFiles.from_map(found)
+        files = TlsFiles.from_map(paths_by_key)
         files_by_listener[name] = files
         if missing:
             continue
@@ -259,7 +271,7 @@
     return files_by_listener
 
 
-def _secret(
+def _read_secret(
     path: Path,
     name: str,
     table: dict[str, Any],
@@ -282,7 +294,9 @@
         return ""
 
 
-def _settings(table: dict[str, Any], secrets_by_table: dict[str, str]) -> Settings:
+def _build_settings(
+    table: dict[str, Any], secrets_by_table: dict[str, str]
+) -> Settings:
     listen = table.get("listen", {})
     optional: dict[str, Any] = {
         "lease_s": table.get("lease", {}).get("seconds"),
