--- a/src/caperridge/standins/__init__.py
+++ b/src/caperridge/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of outside systems for tests, the demo and measurement."""
+"""In-memory fakes of external systems for tests, the demo and measurements."""
--- a/src/caperridge/standins/engine.py
+++ b/src/caperridge/standins/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in for a model engine: the model behind an OpenAI-shaped HTTP face.
+"""HTTP server of the engine stand-in: an OpenAI-compatible API with fault injection.
 
-Beside the completions it takes cancels, orders with a fencing number, KV export and
-import, and reports load with a lag and cache events late and with gaps. Its faults
-are switched by :class:`EngineFaults`.
+It serves completions, cancellation, orders with a fencing token, and KV cache export
+and import. Load reports lag behind; cache events are delayed and incomplete.
+:class:`EngineFaults` switches its faults.
 """
 
 import asyncio
@@ -19,26 +19,28 @@
 
 __all__ = ["KILLER", "POISON", "Engine", "EngineFaults", "make_app"]
 
-DEFAULT_MOST_TOKENS = 16
+DEFAULT_MAX_TOKENS = 16
 POISON = "[[never-done]]"
 KILLER = "[[kills-the-engine]]"
 
 
 def make_app(engine: Engine) -> web.Application:
-    """Return the HTTP face of ``engine``."""
-    face = _Face(engine)
-    app = web.Application(client_max_size=16 * 2**20, middlewares=[_killable(engine)])
-    app.router.add_post("/v1/chat/completions", face.complete)
-    app.router.add_post("/v1/completions", face.complete)
-    app.router.add_post("/control/cancel", face.cancel)
-    app.router.add_post("/control/order", face.order)
-    app.router.add_get("/control/state", face.state)
-    app.router.add_get("/control/load", face.load)
-    app.router.add_get("/control/cache-events", face.cache_events)
-    app.router.add_get("/kv/{attempt}", face.export_kv)
-    app.router.add_put("/kv/{attempt}", face.import_kv)
-    app.router.add_put("/standin/faults", face.set_faults)
-    app.router.add_get("/standin/counters", face.counters)
+    """Return the HTTP application that serves ``engine``."""
+    handlers = _Handlers(engine)
+    app = web.Application(
+        client_max_size=16 * 2**20, middlewares=[_kill_middleware(engine)]
+    )
+    app.router.add_post("/v1/chat/completions", handlers.complete)
+    app.router.add_post("/v1/completions", handlers.complete)
+    app.router.add_post("/control/cancel", handlers.cancel)
+    app.router.add_post("/control/order", handlers.order)
+    app.router.add_get("/control/state", handlers.state)
+    app.router.add_get("/control/load", handlers.load)
+    app.router.add_get("/control/cache-events", handlers.cache_events)
+    app.router.add_get("/kv/{attempt}", handlers.export_kv)
+    app.router.add_put("/kv/{attempt}", handlers.import_kv)
+    app.router.add_put("/standin/faults", handlers.set_faults)
+    app.router.add_get("/standin/counters", handlers.counters)
 
     async def start(_app: web.Application) -> None:
         engine.start()
@@ -51,29 +53,29 @@
     return app
 
 
-def _killable(engine: Engine) -> Any:
+def _kill_middleware(engine: Engine) -> Any:
     @web.middleware
-    async def killable(request: web.Request, handler: Any) -> web.StreamResponse:
+    async def check_killed(request: web.Request, handler: Any) -> web.StreamResponse:
         if request.path.startswith("/standin/"):
             return await handler(request)
         if engine.faults.killed:
-            _drop(request)
+            _abort_connection(request)
             raise asyncio.CancelledError
         transport = request.transport
         engine.transports.add(transport)
         try:
             return await handler(request)
         except ConnectionResetError as error:
-            # The other side hung up, or the engine was killed: nobody to answer.
+            # The client disconnected or the engine was killed: no response can be sent.
             raise asyncio.CancelledError from error
         finally:
             engine.transports.discard(transport)
 
-    return killable
+    return check_killed
 
 
-class _Face:
-    """Translates between HTTP and the engine."""
+class _Handlers:
+    """Request handlers that call the engine."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
@@ -97,12 +99,12 @@
         queue = self._engine.submit(sequence)
         try:
             if body.get("stream"):
-                return await self._stream(request, body, sequence, queue)
-            return await self._whole(request, body, sequence, queue)
+                return await self._send_stream(request, body, sequence, queue)
+            return await self._send_completion(request, body, sequence, queue)
         finally:
             self._engine.cancel(sequence.attempt)
 
-    async def _whole(
+    async def _send_completion(
         self,
         request: web.Request,
         body: dict[str, Any],
@@ -112,15 +114,17 @@
         offsets: list[int] = []
         while (offset := await queue.get()) is not None:
             offsets.append(offset)
-        _lose(self._engine.faults, request)
+        _drop_if_body_lost(self._engine.faults, request)
         digest = "crossed!" if self._engine.faults.cross else sequence.digest
         text = "".join(token_text(digest, offset) for offset in offsets)
         return web.Response(
-            body=orjson.dumps(answers.whole_body(body, sequence, text, len(offsets))),
+            body=orjson.dumps(
+                answers.completion_body(body, sequence, text, len(offsets))
+            ),
             content_type="application/json",
         )
 
-    async def _stream(
+    async def _send_stream(
         self,
         request: web.Request,
         body: dict[str, Any],
@@ -131,16 +135,16 @@
         faults = self._engine.faults
         sent = 0
         offset = await queue.get()
-        _lose(faults, request)
+        _drop_if_body_lost(faults, request)
         if faults.late_s:
             await asyncio.sleep(faults.late_s)
         await response.prepare(request)
         while offset is not None:
-            event = answers.event(body, sequence, offset, faults.cross)
+            event = answers.sse_event(body, sequence, offset, faults.cross)
             await response.write(event)
             sent += 1
             if faults.cut_after and sent >= faults.cut_after:
-                _drop(request)
+                _abort_connection(request)
                 return response
             offset = await queue.get()
         await response.write(b"data: [DONE]\n\n")
@@ -214,7 +218,7 @@
         attempt=request.headers.get("X-Attempt-Id", anonymous),
         request=request.headers.get("X-Request-Id", anonymous),
         prompt=prompt,
-        most_tokens=int(body.get("max_tokens") or DEFAULT_MOST_TOKENS),
+        max_tokens=int(body.get("max_tokens") or DEFAULT_MAX_TOKENS),
         produced=int(body.get("resume_from", 0)),
     )
 
@@ -226,12 +230,12 @@
     return web.json_response({"error": error}, status=status)
 
 
-def _lose(faults: EngineFaults, request: web.Request) -> None:
+def _drop_if_body_lost(faults: EngineFaults, request: web.Request) -> None:
     if faults.lose_body:
-        _drop(request)
+        _abort_connection(request)
         raise asyncio.CancelledError
 
 
-def _drop(request: web.Request) -> None:
+def _abort_connection(request: web.Request) -> None:
     if request.transport is not None:
         request.transport.abort()
--- a/src/caperridge/standins/engine_answers.py
+++ b/src/caperridge/standins/engine_answers.py
@@ -1,4 +1,4 @@
-"""How the engine's stand-in writes its answers, in the form of the OpenAI API."""
+"""Response bodies of the engine stand-in, in the format of the OpenAI API."""
 
 from typing import Any
 
@@ -7,11 +7,16 @@
 from caperridge.standins.engine_model import Sequence, prompt_tokens, token_text
 
 
-def event(body: dict[str, Any], sequence: Sequence, offset: int, cross: bool) -> bytes:
-    """Return one SSE event; ids and offset come first, so that a reader may stop."""
+def sse_event(
+    body: dict[str, Any], sequence: Sequence, offset: int, cross: bool
+) -> bytes:
+    """Return one SSE event.
+
+    The ids and the offset come first, so that a reader can stop parsing after them.
+    """
     digest = "crossed!" if cross else sequence.digest
     text = token_text(digest, offset)
-    last = offset + 1 >= sequence.most_tokens
+    last = offset + 1 >= sequence.max_tokens
     choice: dict[str, Any] = {"index": 0}
     if "messages" in body:
         choice["delta"] = {"role": "assistant", "content": text}
@@ -32,10 +37,10 @@
     return b"data: " + orjson.dumps(fields) + b"\n\n"
 
 
-def whole_body(
+def completion_body(
     body: dict[str, Any], sequence: Sequence, text: str, tokens: int
 ) -> dict[str, Any]:
-    """Return an answer in one piece."""
+    """Return the body of a response that is not streamed."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": "length"}
     if "messages" in body:
         choice["message"] = {"role": "assistant", "content": text}
@@ -53,9 +58,9 @@
 
 
 def _usage(sequence: Sequence, tokens: int) -> dict[str, int]:
-    asked = prompt_tokens(sequence.prompt)
+    prompt_count = prompt_tokens(sequence.prompt)
     return {
-        "prompt_tokens": asked,
+        "prompt_tokens": prompt_count,
         "completion_tokens": tokens,
-        "total_tokens": asked + tokens,
+        "total_tokens": prompt_count + tokens,
     }
--- a/src/caperridge/standins/engine_faults.py
+++ b/src/caperridge/standins/engine_faults.py
@@ -1,26 +1,27 @@
-"""The switches of the engine's stand-in."""
+"""Fault injection settings of the engine stand-in."""
 
 from caperridge.records import Record
 
 
 class EngineFaults(Record):
-    """The switches of an engine.
+    """Faults injected into one engine.
 
     Attributes:
-        hung: steps stop; connections stay open.
-        killed: every connection breaks; see :meth:`Engine.kill`.
-        slow: steps take this many times as long.
-        refuse_status: answer every request with this status; 0 for none.
-        refuse_run: the ``run`` word of that refusal, if it should carry one.
-        cut_after: drop the connection after so many tokens; 0 for never.
+        hung: no steps run; connections stay open.
+        killed: all connections break; see :meth:`Engine.kill`.
+        slow: factor on the duration of steps.
+        refuse_status: HTTP status to refuse all requests with; 0 for none.
+        refuse_run: ``run`` field of that refusal; empty to omit it.
+        cut_after: number of tokens after which the connection is dropped; 0 for
+            never.
         cross: answer with the text and ids of another request.
-        late_s: hold back the first token for so long.
+        late_s: delay of the first token in seconds.
         lose_body: run the request, then drop the connection before the first byte.
-        leaving: refuse new requests with 503 and say ``leaving``.
-        ignore_fencing: obey orders with an old number.
-        report_lag_s: how old the load report is.
-        event_lag_s: how late cache events are.
-        event_gaps: share of cache events that never appear.
+        leaving: refuse new requests with status 503 and code ``leaving``.
+        ignore_fencing: obey orders with an outdated fencing token.
+        report_lag_s: age of the load report in seconds.
+        event_lag_s: delay of cache events in seconds.
+        event_gaps: ratio of cache events that are never reported.
     """
 
     __slots__ = (
--- a/src/caperridge/standins/engine_model.py
+++ b/src/caperridge/standins/engine_model.py
@@ -1,9 +1,8 @@
-"""The model of an engine: continuous batching in steps, without I/O or a clock.
+"""Simulation of an engine with continuous batching, without I/O or a clock.
 
-A step takes longer the more sequences run in it and the more prompt tokens it has to
-prefill; each running sequence gets one token a step. Sequences are admitted first
-come, first served: the engine knows no priorities. Prompt prefixes are cached in
-blocks, the least recently used going first.
+The duration of a step grows with the running sequences and with the prompt tokens to
+prefill; each running sequence gets one token per step. Sequences are admitted in FIFO
+order, without priorities. Prompt prefixes are cached in blocks with LRU eviction.
 """
 
 from collections import OrderedDict, deque
@@ -13,18 +12,18 @@
 from caperridge.records import Record
 
 BLOCK_TOKENS = 16
-CHARACTERS_A_TOKEN = 4
+CHARS_PER_TOKEN = 4
 
 
 class EngineCosts(Record):
-    """How long things take, in seconds, and how much fits.
+    """Step durations, in seconds, and capacities of an engine.
 
     Attributes:
-        step_s: one step with nothing in it.
+        step_s: duration of an empty step.
         sequence_s: added for each running sequence.
         prefill_s: added for each prompt token that is not cached.
-        most_running: sequences in one step; later ones wait.
-        cache_blocks: blocks of the prefix cache.
+        most_running: maximum of sequences in one step; others wait.
+        cache_blocks: capacity of the prefix cache in blocks.
     """
 
     __slots__ = ("cache_blocks", "most_running", "prefill_s", "sequence_s", "step_s")
@@ -48,12 +47,14 @@
     """One request inside the engine.
 
     Attributes:
-        attempt: the caller's id of this attempt.
-        request: the caller's id of the request.
-        prompt: the whole prompt text.
+        attempt: id of this attempt, set by the caller.
+        request: id of the request, set by the caller.
+        prompt: the complete prompt text.
         produced: tokens produced, counted from the start of the answer.
-        most_tokens: where it ends.
+        max_tokens: number of tokens at which the answer is finished.
         kv_ready: the KV cache was imported, so there is nothing to prefill.
+        digest: digest that all tokens of the answer contain.
+        blocks: hashes of the prompt's prefix blocks.
     """
 
     __slots__ = (
@@ -61,7 +62,7 @@
         "blocks",
         "digest",
         "kv_ready",
-        "most_tokens",
+        "max_tokens",
         "produced",
         "prompt",
         "request",
@@ -72,14 +73,14 @@
         attempt: str,
         request: str,
         prompt: str,
-        most_tokens: int,
+        max_tokens: int,
         produced: int = 0,
         kv_ready: bool = False,
     ) -> None:
         self.attempt = attempt
         self.request = request
         self.prompt = prompt
-        self.most_tokens = most_tokens
+        self.max_tokens = max_tokens
         self.produced = produced
         self.kv_ready = kv_ready
         self.digest = answer_digest(prompt)
@@ -87,7 +88,7 @@
 
 
 class Step(Record):
-    """What one step did: how long it takes and which sequences get a token."""
+    """Result of one step: its duration and the sequences that get a token."""
 
     __slots__ = ("duration_s", "emitted", "finished")
 
@@ -100,17 +101,17 @@
 
 
 def prompt_tokens(prompt: str) -> int:
-    """Return how many tokens ``prompt`` is, by its length."""
-    return len(prompt) // CHARACTERS_A_TOKEN + 1
+    """Return the number of tokens of ``prompt``, estimated from its length."""
+    return len(prompt) // CHARS_PER_TOKEN + 1
 
 
 def answer_digest(prompt: str) -> str:
-    """Return the digest that every answer to ``prompt`` is made of."""
+    """Return the digest that each token of an answer to ``prompt`` contains."""
     return xxhash.xxh64_hexdigest(prompt.encode())[:8]
 
 
 def token_text(digest: str, offset: int) -> str:
-    """Return the token at ``offset`` of the answer with ``digest``.
+    """Return the text of the token at ``offset`` of the answer with ``digest``.
 
     >>> token_text("abcd", 3)
     'abcd.3 '
@@ -119,14 +120,14 @@
 
 
 def answer_text(prompt: str, tokens: int) -> str:
-    """Return the whole answer to ``prompt``, for checks."""
+    """Return the expected answer to ``prompt``, for checks."""
     digest = answer_digest(prompt)
     return "".join(token_text(digest, offset) for offset in range(tokens))
 
 
 def prefix_blocks(prompt: str) -> list[int]:
-    """Return the chained hash of each whole block of ``prompt``."""
-    size = BLOCK_TOKENS * CHARACTERS_A_TOKEN
+    """Return the chained hash of each complete block of ``prompt``."""
+    size = BLOCK_TOKENS * CHARS_PER_TOKEN
     hashes: list[int] = []
     seed = 0
     for start in range(0, len(prompt) - size + 1, size):
@@ -136,7 +137,10 @@
 
 
 class EngineModel:
-    """The engine's state; whoever holds it calls :meth:`step` and waits as told."""
+    """State of an engine.
+
+    The owner calls :meth:`step` and waits for the duration that it returns.
+    """
 
     def __init__(self, costs: EngineCosts) -> None:
         self.costs = costs
@@ -146,11 +150,11 @@
         self.added_blocks: list[int] = []
 
     def submit(self, sequence: Sequence) -> None:
-        """Put ``sequence`` behind those that wait."""
+        """Append ``sequence`` to the queue."""
         self.waiting.append(sequence)
 
     def cancel(self, attempt: str) -> bool:
-        """Drop the sequence; return whether it was there."""
+        """Remove the sequence of ``attempt``; return whether there was one."""
         if self.running_by_attempt.pop(attempt, None) is not None:
             return True
         for sequence in self.waiting:
@@ -169,7 +173,7 @@
         return count * BLOCK_TOKENS
 
     def step(self) -> Step | None:
-        """Admit, run one step, and return it; None if there is nothing to run."""
+        """Admit sequences and run one step; return None if there is nothing to run."""
         prefill_tokens = 0
         while self.waiting and len(self.running_by_attempt) < self.costs.most_running:
             sequence = self.waiting.popleft()
@@ -186,22 +190,22 @@
         finished: list[Sequence] = []
         for sequence in running:
             sequence.produced += 1
-            if sequence.produced >= sequence.most_tokens:
+            if sequence.produced >= sequence.max_tokens:
                 del self.running_by_attempt[sequence.attempt]
                 finished.append(sequence)
         return Step(duration_s, running, finished)
 
-    def best_tokens_per_s(self) -> float:
-        """Return the tokens a second of a full engine, prefill left aside."""
+    def peak_tokens_per_s(self) -> float:
+        """Return the tokens per second of a full engine, without prefill."""
         full = self.costs.most_running
         return full / (self.costs.step_s + self.costs.sequence_s * full)
 
     def _prefill(self, sequence: Sequence) -> int:
         if sequence.kv_ready:
             return 0
-        # What was produced before a resume is prefilled like the prompt.
-        left = prompt_tokens(sequence.prompt) + sequence.produced
-        left -= self.cached_tokens(sequence)
+        # Tokens produced before a resume are prefilled like the prompt.
+        uncached = prompt_tokens(sequence.prompt) + sequence.produced
+        uncached -= self.cached_tokens(sequence)
         for block in sequence.blocks:
             if block not in self.cached_blocks:
                 self.added_blocks.append(block)
@@ -209,4 +213,4 @@
             self.cached_blocks.move_to_end(block)
         while len(self.cached_blocks) > self.costs.cache_blocks:
             self.cached_blocks.popitem(last=False)
-        return max(0, left)
+        return max(0, uncached)
--- a/src/caperridge/standins/loader.py
+++ b/src/caperridge/standins/loader.py
@@ -1,4 +1,4 @@
-"""How the engine's stand-in loads what it is ordered to hold."""
+"""Simulated loading of weights by the engine stand-in."""
 
 import asyncio
 import contextlib
@@ -6,19 +6,20 @@
 
 from caperridge.standins.weights import WeightStore
 
-BLOCKS = 20  # a load takes its weights in so many pieces, so that loads share a store
+# Reading weights in several chunks lets concurrent loads share a store.
+LOAD_CHUNKS = 20
 
 
 class Loader:
-    """Follows the last order: ``loaded`` becomes it once its GB were read.
+    """Executes the latest order; ``loaded`` is updated when its weights are read.
 
-    An engine that starts with ``preloaded`` weights takes its first order as a
-    statement of what they are.
+    For an engine that starts with ``preloaded`` weights, the first order only states
+    what these weights are.
 
     Args:
-        gb_per_s: its rate when no store is given.
-        store: shared with other engines.
-        preloaded: whether it starts with weights.
+        gb_per_s: load rate without a store, in GB per second.
+        store: weight store shared with other engines.
+        preloaded: whether the engine starts with weights.
     """
 
     def __init__(
@@ -34,36 +35,36 @@
         self._store = store
         self._task: asyncio.Task[None] | None = None
 
-    def follow(self, desired: dict[str, Any]) -> bool:
-        """Begin to load ``desired``; return whether serving stops meanwhile."""
-        wanted = {key: value for key, value in desired.items() if key != "gb"}
+    def apply_order(self, desired: dict[str, Any]) -> bool:
+        """Start loading ``desired``; return whether this interrupts serving."""
+        ordered = {key: value for key, value in desired.items() if key != "gb"}
         if self._task is not None:
             self._task.cancel()
-        if wanted == self.loaded or (self.serving and not self.loaded):
-            self.loaded, self.loading, self.serving = wanted, False, True
+        if ordered == self.loaded or (self.serving and not self.loaded):
+            self.loaded, self.loading, self.serving = ordered, False, True
             return False
-        stops = self.serving and not self._same_weights(wanted)
+        stops = self.serving and not self._same_weights(ordered)
         self.serving = self.serving and not stops
         self.loading = True
-        load = self._load(wanted, float(desired.get("gb", 0.0)))
+        load = self._load(ordered, float(desired.get("gb", 0.0)))
         self._task = asyncio.get_running_loop().create_task(load)
         return stops
 
-    def _same_weights(self, wanted: dict[str, Any]) -> bool:
+    def _same_weights(self, ordered: dict[str, Any]) -> bool:
         return all(
-            self.loaded.get(key) == wanted.get(key) for key in ("model", "version")
+            self.loaded.get(key) == ordered.get(key) for key in ("model", "version")
         )
 
-    async def _load(self, wanted: dict[str, Any], gb: float) -> None:
-        for _ in range(BLOCKS):
+    async def _load(self, ordered: dict[str, Any], gb: float) -> None:
+        for _ in range(LOAD_CHUNKS):
             if self._store is not None:
-                await self._store.take(int(gb * 1e9 / BLOCKS))
+                await self._store.take(int(gb * 1e9 / LOAD_CHUNKS))
                 continue
-            await asyncio.sleep(gb / self._gb_per_s / BLOCKS)
-        self.loaded, self.loading, self.serving = wanted, False, True
+            await asyncio.sleep(gb / self._gb_per_s / LOAD_CHUNKS)
+        self.loaded, self.loading, self.serving = ordered, False, True
 
     async def stop(self) -> None:
-        """Stop a load under way."""
+        """Cancel a load in progress."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
--- a/src/caperridge/standins/loopback.py
+++ b/src/caperridge/standins/loopback.py
@@ -1,14 +1,14 @@
-"""Applications on loopback, each on a port of its own that the system chooses."""
+"""HTTP servers on the loopback interface, each on a port chosen by the system."""
 
 import ssl
 
 from aiohttp import web
 
-SHUTDOWN_S = 0.1
+SHUTDOWN_TIMEOUT_S = 0.1
 
 
 class LoopbackServers:
-    """Serves applications by name until they are stopped."""
+    """Runs named applications until they are stopped."""
 
     def __init__(self) -> None:
         self._runners_by_name: dict[str, web.AppRunner] = {}
@@ -21,7 +21,7 @@
             app,
             access_log=None,
             handler_cancellation=True,
-            shutdown_timeout=SHUTDOWN_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         )
         await runner.setup()
         self._runners_by_name[name] = runner
@@ -30,10 +30,10 @@
         return f"{host}:{port}"
 
     async def stop(self, name: str) -> None:
-        """Stop one: its connections break, and new ones are refused."""
+        """Stop one application; its connections break and new ones are refused."""
         await self._runners_by_name.pop(name).cleanup()
 
     async def stop_all(self) -> None:
-        """Stop what still runs."""
+        """Stop all running applications."""
         for name in list(self._runners_by_name):
             await self.stop(name)
--- a/src/caperridge/standins/plain.py
+++ b/src/caperridge/standins/plain.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service: it counts each execution by request."""
+"""Stand-in for a plain service with fault injection; counts executions by request."""
 
 import asyncio
 from typing import Any
@@ -7,22 +7,22 @@
 
 from caperridge.records import Record
 
-HUNG_S = 3600.0
+HANG_S = 3600.0
 
 
 class PlainFaults(Record):
-    """The switches of a plain service.
+    """Faults of a plain service.
 
     Attributes:
-        hung: executions never end.
-        refuse_status: refuse with this status before executing; 0 for none.
-        refuse_run: the ``run`` word of that refusal, if it should carry one.
+        hung: executions do not finish.
+        refuse_status: HTTP status to refuse with before executing; 0 for none.
+        refuse_run: ``run`` field of that refusal; empty to omit it.
         lose_before: drop the connection before executing.
         lose_during: execute, then drop the connection in the middle of the body.
         lose_after: execute, then drop the connection without an answer.
-        late_s: answer so many seconds after executing.
-        redirect: answer 307 to itself after executing.
-        leaving: refuse with 503 and say ``leaving``.
+        late_s: delay between execution and answer, in seconds.
+        redirect: answer with status 307 and its own path after executing.
+        leaving: refuse with status 503 and code ``leaving``.
     """
 
     __slots__ = (
@@ -61,14 +61,14 @@
 
 
 class PlainService:
-    """Answers every path with what it was sent, and counts.
+    """Answers each request by echoing it, and counts executions.
 
     Attributes:
-        faults: its switches.
+        faults: the faults switched on.
         runs_by_request: executions by id of the request.
         runs_by_key: executions by idempotency key.
         runs: executions.
-        held: executions that hang or are late at this moment.
+        held: executions that are currently hung or delayed.
     """
 
     def __init__(self) -> None:
@@ -86,19 +86,19 @@
         if faults.refuse_status:
             return _refusal(faults.refuse_status, "refused", faults.refuse_run)
         if faults.lose_before:
-            _drop(request)
+            _abort_connection(request)
             return web.Response()
         name = request.headers.get("X-Request-Id", "")
         body = await request.read()
         self._count(name, request.headers.get("Idempotency-Key", ""))
-        await self._hold(faults)
+        await self._delay(faults)
         if faults.redirect:
             raise web.HTTPTemporaryRedirect(request.path_qs)
         if faults.lose_after:
-            _drop(request)
+            _abort_connection(request)
             return web.Response()
         if faults.lose_during:
-            return await _half(request)
+            return await _send_half(request)
         answer = {
             "request": name,
             "method": request.method,
@@ -108,13 +108,13 @@
         }
         return web.json_response(answer)
 
-    async def _hold(self, faults: PlainFaults) -> None:
-        held_s = HUNG_S if faults.hung else faults.late_s
-        if not held_s:
+    async def _delay(self, faults: PlainFaults) -> None:
+        delay_s = HANG_S if faults.hung else faults.late_s
+        if not delay_s:
             return
         self.held += 1
         try:
-            await asyncio.sleep(held_s)
+            await asyncio.sleep(delay_s)
         finally:
             self.held -= 1
 
@@ -126,7 +126,7 @@
 
 
 def make_app(service: PlainService) -> web.Application:
-    """Return the HTTP face of ``service``."""
+    """Return the HTTP application that serves ``service``."""
 
     async def set_faults(request: web.Request) -> web.Response:
         service.faults = PlainFaults.from_map(await request.json())
@@ -155,14 +155,14 @@
     return web.json_response({"error": error}, status=status)
 
 
-async def _half(request: web.Request) -> web.StreamResponse:
+async def _send_half(request: web.Request) -> web.StreamResponse:
     response = web.StreamResponse(headers={"Content-Length": "100"})
     await response.prepare(request)
     await response.write(b"x" * 50)
-    _drop(request)
+    _abort_connection(request)
     return response
 
 
-def _drop(request: web.Request) -> None:
+def _abort_connection(request: web.Request) -> None:
     if request.transport is not None:
         request.transport.abort()
--- a/src/caperridge/standins/platform.py
+++ b/src/caperridge/standins/platform.py
@@ -1,4 +1,4 @@
-"""A small platform in memory, with the faults of the real one, and its HTTP face."""
+"""In-memory platform with fault injection, and its HTTP server."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from sortedcontainers import SortedDict
 
 from caperridge.records import pack, unpack
-from caperridge.standins.platform_faults import Bucket, Counters, Faults
+from caperridge.standins.platform_faults import Counters, Faults, TokenBucket
 from caperridge.store.interface import (
     Committed,
     Condition,
@@ -32,15 +32,15 @@
 )
 from caperridge.store.wire import decode_condition, decode_write
 
-ROWS_A_SCAN_READ = 100  # a scan counts as one read for each so many rows
+ROWS_PER_SCAN_READ = 100  # rows that a scan returns for the cost of one read
 
 
 class MemoryPlatform(Platform):
-    """The whole platform in one object; shared by all that should see one platform.
+    """A platform held in memory; its clients share one object.
 
     Args:
-        clock: seconds, monotonic; a test passes its own.
-        seed: of the lost answers.
+        clock: returns monotonic time in seconds; tests pass a simulated clock.
+        seed: seed of the random choice of lost answers.
     """
 
     def __init__(self, clock: Callable[[], float], seed: int = 0) -> None:
@@ -50,23 +50,23 @@
         self.objects_by_name: SortedDict[str, bytes] = SortedDict()
         self._clock = clock
         self._random = random.Random(seed)
-        self._writes = Bucket()
-        self._reads = Bucket()
+        self._writes = TokenBucket()
+        self._reads = TokenBucket()
         self._lists: list[tuple[float, list[ListedMember]]] = [(float("-inf"), [])]
 
     def set_members(self, members: list[ListedMember]) -> None:
-        """Change the list; callers see it ``list_lag_s`` later."""
+        """Replace the list of members; callers see it after ``faults.list_lag_s``."""
         self._lists.append((self._clock(), list(members)))
 
     def current_members(self) -> list[ListedMember]:
-        """Return the list as it truly is, without the lag."""
+        """Return the current list of members, without the lag."""
         return list(self._lists[-1][1])
 
     async def transact(
         self, conditions: list[Condition], writes: list[Write], token: str
     ) -> Result[Committed, WriteError]:
         """See :meth:`Platform.transact`."""
-        refusal = await self._enter(self._writes, len(writes), "writes_per_s")
+        refusal = await self._admit(self._writes, len(writes), "writes_per_s")
         if refusal is not None:
             return Err(refusal)
         self.counters.row_writes += len(writes)
@@ -91,7 +91,7 @@
 
     async def read(self, keys: list[str]) -> Result[dict[str, Row], ReadError]:
         """See :meth:`Platform.read`."""
-        refusal = await self._enter(self._reads, len(keys), "reads_per_s")
+        refusal = await self._admit(self._reads, len(keys), "reads_per_s")
         if refusal is not None:
             return Err(refusal)
         self.counters.row_reads += len(keys)
@@ -102,8 +102,8 @@
     ) -> Result[list[Row], ReadError]:
         """See :meth:`Platform.scan`."""
         keys = _page(self.rows_by_key, prefix, after, limit)
-        cost = 1 + len(keys) // ROWS_A_SCAN_READ
-        refusal = await self._enter(self._reads, cost, "reads_per_s")
+        cost = 1 + len(keys) // ROWS_PER_SCAN_READ
+        refusal = await self._admit(self._reads, cost, "reads_per_s")
         if refusal is not None:
             return Err(refusal)
         self.counters.row_reads += cost
@@ -111,7 +111,7 @@
 
     async def put_object(self, name: str, data: bytes) -> Result[None, ReadError]:
         """See :meth:`Platform.put_object`."""
-        refusal = await self._enter(self._writes, 1, "writes_per_s")
+        refusal = await self._admit(self._writes, 1, "writes_per_s")
         if refusal is not None:
             return Err(refusal)
         self.counters.object_writes += 1
@@ -124,7 +124,7 @@
         self, name: str, start: int = 0, length: int | None = None
     ) -> Result[bytes | None, ReadError]:
         """See :meth:`Platform.get_object`."""
-        refusal = await self._enter(self._reads, 1, "reads_per_s")
+        refusal = await self._admit(self._reads, 1, "reads_per_s")
         if refusal is not None:
             return Err(refusal)
         self.counters.object_reads += 1
@@ -137,7 +137,7 @@
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[list[str], ReadError]:
         """See :meth:`Platform.list_objects`."""
-        refusal = await self._enter(self._reads, 1, "reads_per_s")
+        refusal = await self._admit(self._reads, 1, "reads_per_s")
         if refusal is not None:
             return Err(refusal)
         self.counters.object_reads += 1
@@ -145,7 +145,7 @@
 
     async def delete_object(self, name: str) -> Result[None, ReadError]:
         """See :meth:`Platform.delete_object`."""
-        refusal = await self._enter(self._writes, 1, "writes_per_s")
+        refusal = await self._admit(self._writes, 1, "writes_per_s")
         if refusal is not None:
             return Err(refusal)
         self.counters.object_writes += 1
@@ -154,18 +154,20 @@
 
     async def members(self) -> Result[list[ListedMember], ReadError]:
         """See :meth:`Platform.members`."""
-        refusal = await self._enter(self._reads, 1, "reads_per_s")
+        refusal = await self._admit(self._reads, 1, "reads_per_s")
         if refusal is not None:
             return Err(refusal)
         visible_until = self._clock() - self.faults.list_lag_s
-        shown: list[ListedMember] = []
+        visible: list[ListedMember] = []
         for since, members in self._lists:
             if since <= visible_until:
-                shown = members
-        return Ok(list(shown))
+                visible = members
+        return Ok(list(visible))
 
-    async def _enter(self, bucket: Bucket, cost: float, limit: str) -> NotDone | None:
-        """Pass one call through the faults; a refusal means it had no effect."""
+    async def _admit(
+        self, bucket: TokenBucket, cost: float, limit: str
+    ) -> NotDone | None:
+        """Apply the faults to one call; a returned refusal means it has no effect."""
         self.counters.calls += 1
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
@@ -210,26 +212,28 @@
 
 
 def make_app(platform: MemoryPlatform) -> web.Application:
-    """Return the HTTP face of ``platform``, as :class:`HttpPlatform` calls it."""
-    app = web.Application(client_max_size=256 * 2**20, middlewares=[_cut(platform)])
-    face = _Face(platform)
-    app.router.add_post("/table/transact", face.transact)
-    app.router.add_post("/table/read", face.read)
-    app.router.add_post("/table/scan", face.scan)
-    app.router.add_get("/objects", face.list_objects)
-    app.router.add_put("/objects/{name:.+}", face.put_object)
-    app.router.add_get("/objects/{name:.+}", face.get_object)
-    app.router.add_delete("/objects/{name:.+}", face.delete_object)
-    app.router.add_get("/members", face.members)
-    app.router.add_put("/standin/members", face.set_members)
-    app.router.add_put("/standin/faults", face.set_faults)
-    app.router.add_get("/standin/counters", face.counters)
+    """Return the HTTP application of ``platform`` that :class:`HttpPlatform` calls."""
+    app = web.Application(
+        client_max_size=256 * 2**20, middlewares=[_partition_middleware(platform)]
+    )
+    handlers = _Handlers(platform)
+    app.router.add_post("/table/transact", handlers.transact)
+    app.router.add_post("/table/read", handlers.read)
+    app.router.add_post("/table/scan", handlers.scan)
+    app.router.add_get("/objects", handlers.list_objects)
+    app.router.add_put("/objects/{name:.+}", handlers.put_object)
+    app.router.add_get("/objects/{name:.+}", handlers.get_object)
+    app.router.add_delete("/objects/{name:.+}", handlers.delete_object)
+    app.router.add_get("/members", handlers.members)
+    app.router.add_put("/standin/members", handlers.set_members)
+    app.router.add_put("/standin/faults", handlers.set_faults)
+    app.router.add_get("/standin/counters", handlers.counters)
     return app
 
 
-def _cut(platform: MemoryPlatform) -> Any:
+def _partition_middleware(platform: MemoryPlatform) -> Any:
     @web.middleware
-    async def cut(request: web.Request, handler: Any) -> web.StreamResponse:
+    async def drop_cut_zones(request: web.Request, handler: Any) -> web.StreamResponse:
         faults = platform.faults
         zone = request.headers.get("X-Availability-Zone", "")
         silent = faults.outage and faults.silent
@@ -239,11 +243,11 @@
             await asyncio.sleep(3600)
         return await handler(request)
 
-    return cut
+    return drop_cut_zones
 
 
-class _Face:
-    """Translates between HTTP and the calls of the platform."""
+class _Handlers:
+    """Request handlers that call the platform."""
 
     def __init__(self, platform: MemoryPlatform) -> None:
         self._platform = platform
@@ -256,30 +260,30 @@
             body["token"],
         )
         if isinstance(outcome, Err) and isinstance(outcome.err_value, Conflict):
-            return _packed(outcome.err_value, status=409)
-        return _answer(outcome)
+            return _packed_response(outcome.err_value, status=409)
+        return _response(outcome)
 
     async def read(self, request: web.Request) -> web.Response:
         body = unpack(await request.read())
         outcome = await self._platform.read(body["keys"])
-        return _answer(outcome.map(lambda rows: list(rows.values())))
+        return _response(outcome.map(lambda rows: list(rows.values())))
 
     async def scan(self, request: web.Request) -> web.Response:
         body = unpack(await request.read())
-        return _answer(await self._platform.scan(**body))
+        return _response(await self._platform.scan(**body))
 
     async def put_object(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
-        return _answer(await self._platform.put_object(name, await request.read()))
+        return _response(await self._platform.put_object(name, await request.read()))
 
     async def get_object(self, request: web.Request) -> web.Response:
-        asked = request.http_range
-        start = asked.start or 0
-        length = None if asked.stop is None else asked.stop - start
+        byte_range = request.http_range
+        start = byte_range.start or 0
+        length = None if byte_range.stop is None else byte_range.stop - start
         name = request.match_info["name"]
         outcome = await self._platform.get_object(name, start, length)
         if isinstance(outcome, Err):
-            return _answer(outcome)
+            return _response(outcome)
         if outcome.ok_value is None:
             return web.Response(status=404)
         return web.Response(body=outcome.ok_value)
@@ -289,14 +293,14 @@
         outcome = await self._platform.list_objects(
             query["prefix"], query.get("after", ""), int(query.get("limit", "1000"))
         )
-        return _answer(outcome)
+        return _response(outcome)
 
     async def delete_object(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
-        return _answer(await self._platform.delete_object(name))
+        return _response(await self._platform.delete_object(name))
 
     async def members(self, _request: web.Request) -> web.Response:
-        return _answer(await self._platform.members())
+        return _response(await self._platform.members())
 
     async def set_members(self, request: web.Request) -> web.Response:
         fields = await request.json()
@@ -311,16 +315,16 @@
         return web.json_response(self._platform.counters.to_map())
 
 
-def _packed(value: Any, status: int = 200) -> web.Response:
+def _packed_response(value: Any, status: int = 200) -> web.Response:
     return web.Response(body=pack(value), status=status)
 
 
-def _answer(outcome: Result[Any, Any]) -> web.Response:
+def _response(outcome: Result[Any, Any]) -> web.Response:
     if isinstance(outcome, Ok):
-        return _packed(outcome.ok_value)
+        return _packed_response(outcome.ok_value)
     error = outcome.err_value
     if isinstance(error, Unknown):
-        # The effect took place and the answer is lost: drop the connection.
+        # The write took effect but its answer is lost: reply with status 500.
         raise web.HTTPInternalServerError(reason="answer lost")
     headers = {"Retry-After": str(error.retry_after_s)} if error.retry_after_s else {}
     return web.Response(status=503, headers=headers)
--- a/src/caperridge/standins/platform_faults.py
+++ b/src/caperridge/standins/platform_faults.py
@@ -1,20 +1,20 @@
-"""The switches, counters and limits of the platform stand-in."""
+"""Fault injection settings, counters and rate limits of the platform stand-in."""
 
 from caperridge.records import Record
 
 
 class Faults(Record):
-    """The switches; each may be flipped at any moment.
+    """Faults of the platform, each of which can be switched on at any time.
 
     Attributes:
-        outage: every call is refused, or hangs if ``silent``.
-        silent: during an outage nothing answers, rather than refusing.
-        slow_s: added to each call, in seconds.
-        lose_answers: share of writes that take effect and answer unknown.
+        outage: all calls are refused, or hang if ``silent``.
+        silent: calls during an outage hang instead of being refused.
+        slow_s: delay added to each call, in seconds.
+        lose_answers: ratio of writes that take effect but whose answer is lost.
         cut_zones: availability zones whose calls do not arrive.
-        list_lag_s: how late the list of members follows.
-        writes_per_s: row writes a second before calls are throttled; 0: no limit.
-        reads_per_s: the same for reads.
+        list_lag_s: delay of changes to the list of members, in seconds.
+        writes_per_s: rate limit of row writes; 0 for none.
+        reads_per_s: rate limit of row reads; 0 for none.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
 
 
 class Counters(Record):
-    """What the platform was asked to do, for measurements."""
+    """Numbers of calls and row and object accesses, for measurements."""
 
     __slots__ = ("calls", "object_reads", "object_writes", "row_reads", "row_writes")
 
@@ -69,21 +69,27 @@
         self.object_reads = object_reads
 
 
-class Bucket:
-    """A token bucket of one second's worth, filled by the clock it is given."""
+class TokenBucket:
+    """A token bucket with a capacity of one second; callers pass the time."""
 
-    __slots__ = ("_level", "_seen")
+    __slots__ = ("_level", "_updated_at")
 
     def __init__(self) -> None:
         self._level = 0.0
-        self._seen = float("-inf")
+        self._updated_at = float("-inf")
 
     def take(self, amount: float, rate: float, now: float) -> bool:
-        """Take ``amount`` at ``now`` if ``rate`` a second allows; 0: no limit."""
+        """Take ``amount`` tokens if available; return whether it did.
+
+        Args:
+            amount: tokens to take; a full bucket allows any amount.
+            rate: tokens added per second, and the capacity; 0 for no limit.
+            now: current time in seconds.
+        """
         if rate <= 0:
             return True
-        self._level = min(rate, self._level + (now - self._seen) * rate)
-        self._seen = now
+        self._level = min(rate, self._level + (now - self._updated_at) * rate)
+        self._updated_at = now
         if self._level < amount and self._level < rate:
             return False
         self._level -= amount
--- a/src/caperridge/standins/running_engine.py
+++ b/src/caperridge/standins/running_engine.py
@@ -1,4 +1,4 @@
-"""The engine's stand-in without its HTTP face: what runs, and what it was ordered."""
+"""The engine stand-in without its HTTP server: runs sequences and obeys orders."""
 
 import asyncio
 import contextlib
@@ -12,11 +12,11 @@
 from caperridge.standins.loader import Loader
 from caperridge.standins.weights import WeightStore
 
-MOST_KV = 256
+MAX_KV_CACHES = 256
 
 
 class KvCache(Record):
-    """What an engine computed for a sequence: of which prompt, and how far."""
+    """KV cache of a sequence, identified by its prompt digest and tokens produced."""
 
     __slots__ = ("digest", "produced")
 
@@ -25,7 +25,7 @@
         self.produced = produced
 
     def fits(self, sequence: Sequence) -> bool:
-        """Return whether ``sequence`` goes on where this one was."""
+        """Return whether ``sequence`` continues exactly at this state."""
         return (self.digest, self.produced) == (sequence.digest, sequence.produced)
 
 
@@ -33,11 +33,11 @@
     """One running engine.
 
     Args:
-        costs: of its model.
-        seed: of the gaps in its cache events.
-        gb_per_s: rate at which it loads weights when no store is given.
-        store: where it loads weights from.
-        preloaded: whether it starts with weights, rather than with none.
+        costs: step durations and capacities of the simulated engine.
+        seed: seed of the random gaps in its cache events.
+        gb_per_s: load rate without a store, in GB per second.
+        store: weight store that it loads from.
+        preloaded: whether it starts with weights loaded.
     """
 
     def __init__(
@@ -68,11 +68,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start stepping; needs a running loop."""
+        """Start running steps; requires a running event loop."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop stepping."""
+        """Stop running steps and cancel a load in progress."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -93,7 +93,7 @@
                 await self._work.wait()
                 due = loop.time()
                 continue
-            # Steps keep to a schedule, so that a late wake-up is made good.
+            # Schedules from the previous due time to compensate for late wake-ups.
             due = max(due + step.duration_s * self.faults.slow, loop.time() - 0.1)
             await asyncio.sleep(max(0.0, due - loop.time()))
             self._emit(step.emitted, step.finished)
@@ -121,7 +121,7 @@
         self.model.added_blocks.clear()
 
     def submit(self, sequence: Sequence) -> asyncio.Queue[int | None]:
-        """Admit ``sequence``; offsets of its tokens arrive in the queue, then None."""
+        """Submit ``sequence``; return a queue of its token offsets, ended by None."""
         queue: asyncio.Queue[int | None] = asyncio.Queue()
         self._queues_by_attempt[sequence.attempt] = queue
         runs = self.runs_by_request.get(sequence.request, 0)
@@ -133,42 +133,42 @@
         return queue
 
     def cancel(self, attempt: str) -> bool:
-        """Cancel the attempt; return whether it was there."""
+        """Cancel the attempt; return whether it was running or waiting."""
         self._queues_by_attempt.pop(attempt, None)
         running = self.model.running_by_attempt.get(attempt)
         if running is not None:
-            # What it computed stays for a while, so that it can be exported.
+            # The KV cache of a cancelled sequence can still be exported for a while.
             self.import_kv(attempt, KvCache(running.digest, running.produced))
         return self.model.cancel(attempt)
 
     def export_kv(self, attempt: str) -> KvCache | None:
-        """Return the KV cache of a sequence that runs or was cancelled lately."""
+        """Return the KV cache of a running or recently cancelled sequence."""
         running = self.model.running_by_attempt.get(attempt)
         if running is not None:
             return KvCache(running.digest, running.produced)
         return self._kv_by_attempt.get(attempt)
 
     def import_kv(self, attempt: str, kv: KvCache) -> None:
-        """Keep a KV cache for the attempt that will come; the oldest goes first."""
+        """Store a KV cache for a later attempt; the oldest are evicted first."""
         self._kv_by_attempt[attempt] = kv
-        while len(self._kv_by_attempt) > MOST_KV:
+        while len(self._kv_by_attempt) > MAX_KV_CACHES:
             self._kv_by_attempt.popitem(last=False)
 
     def load_report(self, now: float) -> dict[str, Any]:
         """Return the newest report that is at least ``report_lag_s`` old."""
-        shown = {"running": 0, "waiting": 0}
+        visible = {"running": 0, "waiting": 0}
         for at, report in self._reports:
             if at <= now - self.faults.report_lag_s:
-                shown = report
-        return shown
+                visible = report
+        return visible
 
     def cache_events(self, after: int, now: float) -> list[list[int]]:
-        """Return ``[number, block]`` of the events after ``after`` that may be seen."""
-        ripe = now - self.faults.event_lag_s
-        return [[n, b] for at, n, b in self._events[after + 1 :] if at <= ripe]
+        """Return ``[number, block]`` of visible cache events after number ``after``."""
+        visible_until = now - self.faults.event_lag_s
+        return [[n, b] for at, n, b in self._events[after + 1 :] if at <= visible_until]
 
     def kill(self) -> None:
-        """Die: break every connection, refuse new ones, forget what runs."""
+        """Crash: break all connections, refuse new ones, cancel all sequences."""
         self.faults.killed = True
         self.killed.set()
         for transport in list(self.transports):
@@ -177,12 +177,12 @@
             self.cancel(attempt)
 
     def order(self, fence: int, desired: dict[str, Any]) -> bool:
-        """Obey an order unless its fencing number is old; return whether obeyed."""
+        """Obey an order unless its fencing token is outdated; return whether obeyed."""
         if fence < self.fence and not self.faults.ignore_fencing:
             return False
         self.fence = max(self.fence, fence)
         self.desired = desired
         self.obeyed.append({"fence": fence, "desired": desired})
-        if self.loader.follow(desired):
+        if self.loader.apply_order(desired):
             self.cut_by_load += len(self._queues_by_attempt)
         return True
--- a/src/caperridge/standins/weights.py
+++ b/src/caperridge/standins/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in for the weight store: bytes at a limited rate, shared by all readers."""
+"""Stand-in for the weight store: serves bytes at a rate shared by all readers."""
 
 import asyncio
 
@@ -8,10 +8,10 @@
 
 
 class WeightStore:
-    """Serves any name; the rate is shared among all that read at once.
+    """Serves weights of any name; concurrent readers share the rate.
 
     Args:
-        bytes_per_s: of the whole store.
+        bytes_per_s: rate of the entire store.
     """
 
     def __init__(self, bytes_per_s: float = 50e6) -> None:
@@ -21,7 +21,7 @@
         self._due = 0.0
 
     async def take(self, size: int) -> None:
-        """Wait until ``size`` more bytes may leave the store."""
+        """Wait until ``size`` more bytes may be sent."""
         now = asyncio.get_running_loop().time()
         self._due = max(self._due, now) + size / self.bytes_per_s
         await asyncio.sleep(self._due - now)
@@ -31,20 +31,20 @@
         if self.outage:
             return web.Response(status=503)
         name = request.match_info["name"]
-        left = int(request.query.get("bytes", "0"))
+        remaining = int(request.query.get("bytes", "0"))
         response = web.StreamResponse()
         await response.prepare(request)
-        while left > 0:
-            size = min(left, BLOCK_BYTES)
+        while remaining > 0:
+            size = min(remaining, BLOCK_BYTES)
             await self.take(size)
             await response.write(bytes(size))
             self.served_by_name[name] = self.served_by_name.get(name, 0) + size
-            left -= size
+            remaining -= size
         return response
 
 
 def make_app(store: WeightStore) -> web.Application:
-    """Return the HTTP face of ``store``."""
+    """Return the HTTP application that serves ``store``."""
     app = web.Application()
     app.router.add_get("/weights/{name:.+}", store.handle)
     return app
--- a/tests/orders/world.py
+++ b/tests/orders/world.py
@@ -166,9 +166,9 @@
 class YieldingPlatform(MemoryPlatform):
     """Yields to the loop before each call, so that calls of instances interleave."""
 
-    async def _enter(self, *args: Any) -> NotDone | None:
+    async def _admit(self, *args: Any) -> NotDone | None:
         await asyncio.sleep(0)
-        return await super()._enter(*args)
+        return await super()._admit(*args)
 
 
 class World:
