--- a/tests/orders/test_order_machine.py
+++ b/tests/orders/test_order_machine.py
@@ -1,7 +1,8 @@
 """State machine of orderers with paused holders, late orders and ended sessions.
 
-It guards against a target that accepts an older fencing number, loses its last serving
-runner, or does not reach its desired state.
+It guards against two instances that may order one target at the same time, a target
+that accepts an older fencing number or does not reach its desired state, and a service
+that loses its last serving runner.
 """
 
 import asyncio
@@ -69,7 +70,7 @@
         self.world.end_session(self.pick(pick))
 
     @rule(pick=PICK, version=st.sampled_from("123"))
-    def rob(self, pick: int, version: str) -> None:
+    def take_over_early(self, pick: int, version: str) -> None:
         """Let another instance take over while the holder still relies on its lease."""
         holder = self.pick(pick)
         holder.paused = True
--- a/tests/orders/world.py
+++ b/tests/orders/world.py
@@ -166,9 +166,9 @@
 class YieldingPlatform(MemoryPlatform):
     """Yields to the loop before each call, so that calls of instances interleave."""
 
-    async def _enter(self, *args: Any) -> NotDone | None:
+    async def _admit(self, *args: Any) -> NotDone | None:
         await asyncio.sleep(0)
-        return await super()._enter(*args)
+        return await super()._admit(*args)
 
 
 class World:
@@ -264,7 +264,7 @@
         assert any(other.serves for other in others), "the last runner is taken away"
 
     def _released_by(self, former: str) -> set[str]:
-        """Return the targets whose lease ``former`` no longer believes to hold."""
+        """Return the targets whose lease ``former`` no longer believes it holds."""
         orderer = self.members_by_name[former].orderer
         session = orderer._session.session_id
         return {
