--- a/src/caperridge/gateway/jobs/holders.py
+++ b/src/caperridge/gateway/jobs/holders.py
@@ -20,7 +20,7 @@
     """The part of the mesh that is used here."""
 
     def incarnation_alive(self, incarnation: str) -> bool:
-        """Whether this incarnation is the own one or one that sends heartbeats."""
+        """Whether this is the own incarnation or that of a peer that is alive."""
 
 
 class SilentHolder(Record):
@@ -54,7 +54,7 @@
         self._holder_by_id[id] = holder
         silent = self._silent_holder_by_id.get(id)
         if silent is not None and silent.holder is None:
-            # The silence was counted while the holder was unknown.
+            # Whoever the holder was, it has been silent since the count began.
             silent.holder = holder
 
     def is_own(self, id: str) -> bool:
