--- a/src/caperridge/gateway/mesh/contacts.py
+++ b/src/caperridge/gateway/mesh/contacts.py
@@ -9,7 +9,7 @@
 
 from caperridge.gateway.mesh.member import Member
 
-# With only one, its loss cuts an instance off from its zone until another is connected.
+# With only one, losing it cuts an instance off from that zone until another connects.
 CONTACTS_PER_ZONE = 2
 
 
--- a/src/caperridge/gateway/mesh/dialers.py
+++ b/src/caperridge/gateway/mesh/dialers.py
@@ -37,7 +37,7 @@
     Args:
         roster: of members.
         address: own, never dialed.
-        seeds: addresses that are dialed while no member is alive.
+        seeds: addresses that are dialed while the mesh is small or no member is alive.
         hello: returns the first message of a connection to an address.
         connected: called with each stream that was connected.
     """
@@ -99,7 +99,7 @@
         self._dial(address)
 
     def is_temporary(self, address: str) -> bool:
-        """Whether the stream to an address was opened by ``dial_temporarily``."""
+        """Whether ``dial_temporarily`` still keeps a stream to an address."""
         return address in self._temporary_until_by_address
 
     def reconcile_if_due(self) -> None:
--- a/src/caperridge/gateway/mesh/member.py
+++ b/src/caperridge/gateway/mesh/member.py
@@ -11,7 +11,8 @@
         incarnation: last one received; empty if none.
         previous_incarnation: that was received before the present one.
         last_received_at: when its last message came; -inf if there was none.
-        lost_at: when it was found to be silent; None while it is alive.
+        lost_at: when it was lost, or first listed if it never was alive; None while it
+            is alive.
         reported_lost_at: when its zone last reported it as lost.
         leaving: it reported that it takes no new work.
         store_reached: it reported that it reaches the store.
--- a/src/caperridge/gateway/mesh/mesh.py
+++ b/src/caperridge/gateway/mesh/mesh.py
@@ -25,8 +25,9 @@
 SILENCE_TIMEOUT_S = 1.5
 # A peer that was sent something this recently needs no liveness message.
 RECENTLY_SENT_S = 0.1
-# Far peers are received through contacts: each relays with its own heartbeat what it
-# received, and two of them alternate. Two in a row are lost within 2.4 s.
+# Heartbeats of far peers come through contacts: each relays with its own heartbeat
+# what it received, and the sender alternates between two contacts. Two in a row are
+# lost within 2.4 s.
 FAR_SILENCE_TIMEOUT_S = 3.0
 # Near peers that an update is forwarded to when there are many: about three receive it
 # from each instance that read it from the store.
--- a/src/caperridge/gateway/mesh/messages.py
+++ b/src/caperridge/gateway/mesh/messages.py
@@ -13,7 +13,8 @@
         incarnation: of its process.
         availability_zone: where it runs.
         address: that peers connect to.
-        members: id, address and zone of every instance it knows.
+        members: id, address and zone of every instance it knows; with many members
+            only of those it has a stream to, unless the receiver knows few.
         unheard: ids of those among them that it receives nothing from.
     """
 
@@ -323,7 +324,7 @@
 
 
 class MemberLost(Record):
-    """A peer of the sender's zone closed its connection and did not reconnect."""
+    """The last connection from a peer of the sender's zone to the sender ended."""
 
     __slots__ = ("incarnation", "instance")
 
