--- a/src/caperridge/gateway/jobs/asking.py
+++ b/src/caperridge/gateway/jobs/asking.py
@@ -39,8 +39,8 @@
     """Return how many slots to request from each granter.
 
     Each slot is requested where most are free, so that bursts of online requests find
-    free slots at all targets. Counts of other zones are old, so one slot is requested
-    of each target that seems full.
+    free slots at all targets. Counts of other zones are old, so at most one slot is
+    requested of each target that seems full.
 
     Args:
         wanted: number of slots in total; fewer are requested if targets are too few.
--- a/src/caperridge/gateway/jobs/broker.py
+++ b/src/caperridge/gateway/jobs/broker.py
@@ -173,7 +173,10 @@
             request.count -= 1
 
     def record_declined(self, instance: str, target: str) -> None:
-        """Record that an instance had no item for a grant; drops its requests."""
+        """Record that an instance had no item for a grant.
+
+        Its requests for the service of the target are dropped, whatever their count.
+        """
         grant = self._pop_grant(instance, target)
         if grant is not None:
             self._requests_by_instance.get(instance, {}).pop(grant.service, None)
@@ -262,7 +265,7 @@
         return best
 
     def _is_urgent(self, instance: str, service: str, store_now: float) -> bool:
-        """Whether the most urgent item may be late if it waits for an idle target."""
+        """Whether the most urgent item may be late if it waits for a less busy target."""
         request = self._request(instance, service)
         return request is not None and 0.0 <= request.due - store_now < URGENT_DUE_S
 
--- a/src/caperridge/gateway/jobs/held_job.py
+++ b/src/caperridge/gateway/jobs/held_job.py
@@ -28,7 +28,7 @@
         number: position in the job.
         item: as the caller sent it.
         status: ``PENDING``, ``RUNNING``, ``DONE`` or ``LISTED``.
-        progress: output so far.
+        progress: output and failures so far.
         stored_event: number of the last event in the store.
         stored_failures: number of failures in the store.
         not_before: earliest next start, in seconds of the loop's clock.
--- a/src/caperridge/gateway/jobs/slots.py
+++ b/src/caperridge/gateway/jobs/slots.py
@@ -184,7 +184,11 @@
                 self._runs.update_order(state, self._ranked(job, state).order)
 
     def _service(self, ranked: RankedItem) -> str | None:
-        """Return the service that runs an item; None, marking it dead, if none may."""
+        """Return the service that runs an item; None if there is none at present.
+
+        Marks the item dead if it has no route or its retention is over. Without a
+        configuration it stays pending.
+        """
         if self._configuration.table is None:
             return None
         route = self._route(ranked.job.entry, ranked.state.item)
