--- a/src/caperridge/gateway/jobs/broker.py
+++ b/src/caperridge/gateway/jobs/broker.py
@@ -265,7 +265,7 @@
         return best
 
     def _is_urgent(self, instance: str, service: str, store_now: float) -> bool:
-        """Whether the most urgent item may be late if it waits for a less busy target."""
+        """Whether the most urgent item may be late unless it uses a reserved slot."""
         request = self._request(instance, service)
         return request is not None and 0.0 <= request.due - store_now < URGENT_DUE_S
 
--- a/src/caperridge/gateway/jobs/held_job.py
+++ b/src/caperridge/gateway/jobs/held_job.py
@@ -77,7 +77,7 @@
             self.task.cancel()
 
     def append_events(self, events: list[Event]) -> bool:
-        """Append events to the output up to a gap; False if there is one."""
+        """Append events up to the first out of order; False if there is one."""
         number = self.progress.event
         parts = [self.progress.text] if number else []
         in_order = True
--- a/src/caperridge/gateway/jobs/keeper.py
+++ b/src/caperridge/gateway/jobs/keeper.py
@@ -306,7 +306,7 @@
                 await asyncio.sleep(STORE_RETRY_DELAY_S)
 
     async def _rewrite(self, id: str, tokens: int, still_open: bool) -> bool:
-        """Rewrite a job's entry; True if the index has it or need not."""
+        """Rewrite a job's entry; True if it was written or needs no change."""
         entry = self._index.entries_by_job.get(id)
         if entry is None or (not entry.open and not still_open):
             return True
--- a/src/caperridge/gateway/mesh/lives.py
+++ b/src/caperridge/gateway/mesh/lives.py
@@ -32,7 +32,7 @@
 
 
 def lost_at(peers: Peers, incarnation: str) -> float:
-    """Return when an incarnation was found to be silent; -inf if it is not known."""
+    """Return when an incarnation was lost; -inf if it is alive or not known."""
     member = peers.members_by_id.get(incarnation.rpartition(".")[0])
     if member is None or member.incarnation != incarnation or member.lost_at is None:
         return -math.inf
--- a/src/caperridge/gateway/mesh/relay.py
+++ b/src/caperridge/gateway/mesh/relay.py
@@ -132,7 +132,7 @@
             self._mesh.send(contact.id, relay)
 
     def report_lost(self, member: Member) -> None:
-        """Report a lost near peer to other zones if this instance is a reporter."""
+        """Report a lost near peer to other zones if hashing chooses this instance."""
         if not self._roster.large:
             return  # no peer is far
         near = [one for one in self._roster.near() if one.lost_at is None]
