--- a/src/caperridge/keys.py
+++ b/src/caperridge/keys.py
@@ -46,7 +46,7 @@
 
 
 def order(target_id: str) -> str:
-    """Return the key of the row with a target's orderer and its fencing number."""
+    """Return the key of the row with a target's orderer and its fencing token."""
     return f"order/{target_id}"
 
 
--- a/src/caperridge/peers/messages.py
+++ b/src/caperridge/peers/messages.py
@@ -237,7 +237,7 @@
 
     Attributes:
         target: id of the target.
-        fence: fencing number of the orderer.
+        fence: fencing token of the orderer.
         sequence: increases with each update of that orderer.
         loaded: ``model``, ``version``, ``adapters`` and ``role``.
         held: whether it is about to load and must not get new requests.
