--- a/src/caperridge/store/interface.py
+++ b/src/caperridge/store/interface.py
@@ -230,7 +230,7 @@
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[list[Row], ReadError]:
-        """Return up to ``limit`` rows with ``prefix``, by key, after ``after``."""
+        """Return up to ``limit`` rows with ``prefix`` and a key above ``after``, sorted."""
 
     @abstractmethod
     async def put_object(self, name: str, data: bytes) -> Result[None, ReadError]:
@@ -240,7 +240,13 @@
     async def get_object(
         self, name: str, start: int = 0, length: int | None = None
     ) -> Result[bytes | None, ReadError]:
-        """Return ``length`` bytes of the object from ``start``; None if absent."""
+        """Return the object's bytes from ``start``; None if there is no such object.
+
+        Args:
+            name: of the object.
+            start: offset of the first byte.
+            length: maximum number of bytes; None for all up to the end.
+        """
 
     @abstractmethod
     async def list_objects(
