--- a/src/caperridge/peers/interface.py
+++ b/src/caperridge/peers/interface.py
@@ -32,7 +32,7 @@
 
     @abstractmethod
     def send(self, instance: str, message: Record) -> bool:
-        """Queue ``message`` for one peer; False if there is no stream to it."""
+        """Queue ``message`` for one peer; False without a stream or room in its queue."""
 
     @abstractmethod
     def send_or_relay(self, instance: str, message: Record) -> bool:
@@ -44,11 +44,11 @@
 
     @abstractmethod
     def send_zone(self, message: Record) -> int:
-        """Queue ``message`` for every peer in this zone; return their number."""
+        """Queue ``message`` for every peer in this zone; return how many queued it."""
 
     @abstractmethod
     def send_all(self, message: Record) -> int:
-        """Queue ``message`` for every connected peer; return their number.
+        """Queue ``message`` for every connected peer; return how many queued it.
 
         Messages about jobs and targets are flooded: receivers forward them on first
         receipt, so they get to every reachable instance.
--- a/src/caperridge/peers/streams.py
+++ b/src/caperridge/peers/streams.py
@@ -24,7 +24,7 @@
         return iter(list(self.by_id.values()))
 
     def add(self, stream: PeerStream) -> bool:
-        """Add ``stream``, or close it if the old one is better; return False then."""
+        """Add ``stream``; return False, and close it, if the present one is better."""
         old = self.by_id.get(stream.instance)
         if old is not None and not old.closed and not self._replaces(stream, old):
             stream.close()
@@ -42,7 +42,7 @@
         return True
 
     def send(self, instance: str, message: Record) -> bool:
-        """Queue ``message`` for one peer; False if there is no stream to it."""
+        """Queue ``message`` for one peer; False without a stream or room in its queue."""
         stream = self.by_id.get(instance)
         return stream is not None and stream.send(message)
 
@@ -54,7 +54,7 @@
         return False
 
     def send_zone(self, message: Record) -> int:
-        """Queue ``message`` for every peer in this zone; return their number."""
+        """Queue ``message`` for every peer in this zone; return how many queued it."""
         sent = 0
         for stream in self.by_id.values():
             if stream.hello.availability_zone == self._availability_zone:
@@ -62,7 +62,7 @@
         return sent
 
     def send_all(self, message: Record, exclude: PeerStream | None = None) -> int:
-        """Queue ``message`` for every peer, except ``exclude``; return their number."""
+        """Queue ``message`` for all but ``exclude``; return how many peers queued it."""
         return sum(s.send(message) for s in self.by_id.values() if s is not exclude)
 
     def close(self) -> None:
