--- a/src/caperridge/standins/platform_faults.py
+++ b/src/caperridge/standins/platform_faults.py
@@ -4,7 +4,7 @@
 
 
 class Faults(Record):
-    """Faults of the platform, each of which can be switched on at any time.
+    """Faults of the platform, each of which can be switched on or off at any time.
 
     Attributes:
         outage: all calls are refused, or hang if ``silent``.
