--- a/src/caperridge/closing.py
+++ b/src/caperridge/closing.py
@@ -27,7 +27,7 @@
 STALL_TIMEOUT_S = 0.1
 # Logging the stall may need a resource that the stalled loop holds, so it is limited.
 REPORT_TIMEOUT_S = 0.05
-# Innermost frames of the stalled loop that are logged; they show the calls.
+# Logged innermost frames of the stalled loop; enough to see the chain of calls.
 MAX_FRAMES = 8
 
 
@@ -64,7 +64,7 @@
         await asyncio.wait({closing}, timeout=max(0.0, deadline - started_at))
         took_s_by_part[name] = round(loop.time() - started_at, 3)
         if not closing.done():
-            log.warning("not closed", part=name, reason="its time is over")
+            log.warning("not closed", part=name, reason="timed out")
             break
         with contextlib.suppress(asyncio.CancelledError):
             error = closing.exception()
