--- a/src/caperridge/config/checks.py
+++ b/src/caperridge/config/checks.py
@@ -73,7 +73,7 @@
 def _check_tokens(
     configuration: Configuration, locate: KeyLocator, findings: list[Finding]
 ) -> None:
-    """Find tokens shared by callers, or by operators: they don't identify one of them."""
+    """Find tokens shared by callers, or by operators, as they identify none of them."""
     for table in ("callers", "operators"):
         names_by_digest: dict[str, str] = {}
         for name, item in getattr(configuration, f"{table}_by_name").items():
--- a/src/caperridge/peers/interface.py
+++ b/src/caperridge/peers/interface.py
@@ -32,7 +32,7 @@
 
     @abstractmethod
     def send(self, instance: str, message: Record) -> bool:
-        """Queue ``message`` for one peer; False without a stream or room in its queue."""
+        """Queue ``message`` for one peer; False if it has no stream or a full queue."""
 
     @abstractmethod
     def send_or_relay(self, instance: str, message: Record) -> bool:
--- a/src/caperridge/peers/streams.py
+++ b/src/caperridge/peers/streams.py
@@ -42,7 +42,7 @@
         return True
 
     def send(self, instance: str, message: Record) -> bool:
-        """Queue ``message`` for one peer; False without a stream or room in its queue."""
+        """Queue ``message`` for one peer; False if it has no stream or a full queue."""
         stream = self.by_id.get(instance)
         return stream is not None and stream.send(message)
 
@@ -62,7 +62,7 @@
         return sent
 
     def send_all(self, message: Record, exclude: PeerStream | None = None) -> int:
-        """Queue ``message`` for all but ``exclude``; return how many peers queued it."""
+        """Queue ``message`` for all but ``exclude``; return how many queued it."""
         return sum(s.send(message) for s in self.by_id.values() if s is not exclude)
 
     def close(self) -> None:
--- a/src/caperridge/store/interface.py
+++ b/src/caperridge/store/interface.py
@@ -230,7 +230,7 @@
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[list[Row], ReadError]:
-        """Return up to ``limit`` rows with ``prefix`` and a key above ``after``, sorted."""
+        """Return up to ``limit`` rows with ``prefix``, by key, from above ``after``."""
 
     @abstractmethod
     async def put_object(self, name: str, data: bytes) -> Result[None, ReadError]:
