--- a/src/caperridge/closing.py
+++ b/src/caperridge/closing.py
@@ -64,7 +64,7 @@
         await asyncio.wait({closing}, timeout=max(0.0, deadline - started_at))
         took_s_by_part[name] = round(loop.time() - started_at, 3)
         if not closing.done():
-            log.warning("not closed", part=name, reason="timed out")
+            log.warning("not closed", part=name, reason="its time is over")
             break
         with contextlib.suppress(asyncio.CancelledError):
             error = closing.exception()
