--- a/src/caperridge/targets/engine.py
+++ b/src/caperridge/targets/engine.py
@@ -48,7 +48,8 @@
         resume_from: offset of the first token to send.
         first_event_s: timeout of the first event; None for the client's default.
         between_events_s: timeout between two events; None for the client's default.
-        max_wait_s: longest wait for the first event, pauses of this process included.
+        max_wait_s: longest wait for the first event, pauses of this process included;
+            after it the caller no longer wants an answer.
     """
 
     __slots__ = (
