--- a/src/caperridge/closing.py
+++ b/src/caperridge/closing.py
@@ -27,7 +27,7 @@
 STALL_TIMEOUT_S = 0.1
 # Logging the stall may need a resource that the stalled loop holds, so it is limited.
 REPORT_TIMEOUT_S = 0.05
-# Innermost frames of the stalled loop that are logged; they show the calls.
+# Logged innermost frames of the stalled loop; enough to see the chain of calls.
 MAX_FRAMES = 8
 
 
