--- a/src/caperridge/gateway/answer_limits.py
+++ b/src/caperridge/gateway/answer_limits.py
@@ -15,8 +15,8 @@
     """
 
     def __init__(self) -> None:
-        self.until = math.inf
-        self.careful_from = math.inf
+        self.deadline = math.inf
+        self.reject_long_from = math.inf
         self._running: set[asyncio.Timeout] = set()
 
     @contextlib.asynccontextmanager
@@ -27,17 +27,17 @@
             deadline: its own, on the loop's clock.
         """
         async with asyncio.timeout(None) as limit:
-            limit.reschedule(_when(min(deadline, self.until)))
+            limit.reschedule(_when(min(deadline, self.deadline)))
             self._running.add(limit)
             try:
                 yield
             finally:
                 self._running.discard(limit)
 
-    def end_by(self, until: float, careful_from: float = -math.inf) -> None:
+    def cap(self, until: float, careful_from: float = -math.inf) -> None:
         """Bring forward whatever would end later, also what has begun already."""
-        self.until = until
-        self.careful_from = careful_from
+        self.deadline = until
+        self.reject_long_from = careful_from
         for limit in self._running:
             if limit.expired():
                 continue
--- a/src/caperridge/gateway/answer_relay.py
+++ b/src/caperridge/gateway/answer_relay.py
@@ -3,9 +3,9 @@
 import asyncio
 import math
 
-from caperridge.gateway.dialect import passed_on
+from caperridge.gateway.dialect import end_to_end_headers
 from caperridge.gateway.events import Event
-from caperridge.gateway.inbound import Carriage, InboundRequest, Reply
+from caperridge.gateway.inbound import ForwardingState, InboundRequest, Reply
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.upstream import Answer, BrokenAnswerError, SilentAnswerError
 from caperridge.targets.outcomes import (
@@ -33,7 +33,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: Carriage,
+        carriage: ForwardingState,
         answer: Answer,
     ) -> AttemptError | None:
         """Pass ``answer`` on; None if it has gone out whole."""
@@ -46,13 +46,13 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: Carriage,
+        carriage: ForwardingState,
         answer: Answer,
     ) -> AttemptError | None:
         pieces: list[bytes] = []
         size = 0
         try:
-            async for piece in answer.pieces():
+            async for piece in answer.chunks():
                 pieces.append(piece)
                 size += len(piece)
                 if size > MOST_ANSWER_BYTES:
@@ -62,18 +62,18 @@
         failed = answer.status >= 500
         if failed:
             carriage.attempts += 1
-        again = request.route.idempotent and carriage.may_move(request.route)
-        if (failed and again) or reply.begun:
+        again = request.route.idempotent and carriage.may_retry(request.route)
+        if (failed and again) or reply.started:
             return TargetRefused(answer.status, "it failed", "ran")
-        headers = passed_on(answer.headers, frozenset())
-        await reply.whole(answer.status, headers, b"".join(pieces))
+        headers = end_to_end_headers(answer.headers, frozenset())
+        await reply.send_whole(answer.status, headers, b"".join(pieces))
         return None
 
     async def _relay_events(
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: Carriage,
+        carriage: ForwardingState,
         answer: Answer,
     ) -> AttemptError | None:
         first_s, next_s = math.inf, math.inf
@@ -92,24 +92,28 @@
             return Lost(str(error), broken_off=True)
         except BrokenAnswerError as error:
             return Lost(str(error))
-        if not reply.begun:
-            await reply.begin(answer.status, passed_on(answer.headers, frozenset()))
+        if not reply.started:
+            await reply.start(
+                answer.status, end_to_end_headers(answer.headers, frozenset())
+            )
         await reply.end()
         return None
 
     async def _pass_on(
         self, request: InboundRequest, reply: Reply, answer: Answer, data: bytes
     ) -> None:
-        if not reply.begun:
+        if not reply.started:
             loop = asyncio.get_running_loop()
             self._metrics.first_event.labels(request.route.kind).observe(
                 loop.time() - request.arrived
             )
-            await reply.begin(answer.status, passed_on(answer.headers, frozenset()))
+            await reply.start(
+                answer.status, end_to_end_headers(answer.headers, frozenset())
+            )
         await reply.write(data)
 
 
-def _next_events(events: list[Event], carriage: Carriage) -> tuple[bytes, bool]:
+def _next_events(events: list[Event], carriage: ForwardingState) -> tuple[bytes, bool]:
     """Return the events that come next, joined, and whether one did not.
 
     An event without a number is passed on as it is.
--- a/src/caperridge/gateway/dialect.py
+++ b/src/caperridge/gateway/dialect.py
@@ -85,7 +85,7 @@
 
     headers: HeaderNames
     # Lower-case names of what a caller may send otherwise at each try of one request.
-    headers_of_a_try: frozenset[str]
+    per_attempt_headers: frozenset[str]
     paths: JobsPaths
     configuration_table: str
     configuration_key: str
@@ -141,7 +141,9 @@
         """Whether the answer comes from another target than was meant."""
 
 
-def passed_on(headers: CIMultiDict[str], own: frozenset[str]) -> CIMultiDict[str]:
+def end_to_end_headers(
+    headers: CIMultiDict[str], own: frozenset[str]
+) -> CIMultiDict[str]:
     """Return ``headers`` without those of one connection and without ``own``.
 
     Args:
@@ -149,7 +151,7 @@
         own: lower-case names that the gateway sets itself.
 
     >>> head = CIMultiDict({"Connection": "x-a", "X-A": "1", "X-B": "2", "Te": "t"})
-    >>> list(passed_on(head, frozenset()))
+    >>> list(end_to_end_headers(head, frozenset()))
     ['X-B']
     """
     named = {
@@ -160,14 +162,14 @@
     kept: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
         lower = name.lower()
-        if lower in ONE_CONNECTION_ONLY or lower in named or lower in own:
+        if lower in HOP_BY_HOP_HEADERS or lower in named or lower in own:
             continue
         kept.add(name, value)
     return kept
 
 
 # RFC 9110, 7.6.1, and the framing that each connection has of its own.
-ONE_CONNECTION_ONLY = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
--- a/src/caperridge/gateway/edge.py
+++ b/src/caperridge/gateway/edge.py
@@ -14,7 +14,7 @@
 from caperridge.gateway.configuration import ConfigurationInForce
 from caperridge.gateway.dialect import DecodeError, Dialect
 from caperridge.gateway.forwarding import Forwarder
-from caperridge.gateway.inbound import GivenUp, InboundRequest
+from caperridge.gateway.inbound import ForwardingFailure, InboundRequest
 from caperridge.gateway.jobs.edge import JobAnswer, JobsEdge
 from caperridge.gateway.metrics import GatewayMetrics
 from caperridge.gateway.reply import AiohttpReply
@@ -83,7 +83,7 @@
         self._metrics = metrics
         self.closing = False
         self._limits = limits
-        self.hear_peers: Callable[[], None] = lambda: None
+        self.read_peers: Callable[[], None] = lambda: None
         self._running_by_number: dict[int, RunningRequest] = {}
         self._numbers = itertools.count()
         self._last_arrival = 0.0
@@ -105,7 +105,9 @@
                 took_s=round(now - running.arrived, 4),
             )
 
-    def leave(self, answers_until: float, careful_from: float = -math.inf) -> None:
+    def start_draining(
+        self, answers_until: float, careful_from: float = -math.inf
+    ) -> None:
         """Have callers go elsewhere, and answer what they sent and still send in time.
 
         Args:
@@ -115,9 +117,9 @@
                 that one who is refused is served at once.
         """
         self.closing = True
-        self._limits.end_by(answers_until, careful_from)
+        self._limits.cap(answers_until, careful_from)
 
-    async def quiet(self, from_time: float, until: float) -> None:
+    async def wait_until_quiet(self, from_time: float, until: float) -> None:
         """Wait until callers have stopped sending, ``from_time`` at the earliest.
 
         Connections that are kept, or that clients open before the balancer has moved
@@ -201,14 +203,14 @@
             body=body,
             route=route,
             arrived=arrived,
-            deadline=min(arrived + within_s, self._limits.until),
+            deadline=min(arrived + within_s, self._limits.deadline),
             objective=arrived + (route.objective_s or within_s) - age_s,
             resume_after=int(resume) if resume.isdigit() else 0,
         )
         reply = AiohttpReply(request, lambda: self.closing)
-        self.hear_peers()
+        self.read_peers()
         try:
-            given_up = await self._forwarder.carry(inbound, reply)
+            given_up = await self._forwarder.forward(inbound, reply)
         except asyncio.CancelledError:
             self._metrics.requests.labels(route.kind, "left").inc()
             log.info("caller left", request=id, route=route.name)
@@ -242,7 +244,7 @@
             begun_s=reply.begun_after(arrived),
             took_s=took_s,
         )
-        if reply.begun:
+        if reply.started:
             reply.break_off()
             return reply.response
         return self._given_up(request, given_up)
@@ -254,7 +256,9 @@
         ages = self._ages_by_route.setdefault(route.name, CallerAges())
         return ages.age_s(int(deadline_ms))
 
-    def _given_up(self, request: web.Request, given_up: GivenUp) -> web.Response:
+    def _given_up(
+        self, request: web.Request, given_up: ForwardingFailure
+    ) -> web.Response:
         if given_up.not_run:
             return self._refuse(request, 503, given_up.reason, given_up.retry_after_s)
         status = 504 if given_up.timed_out else 502
@@ -346,7 +350,7 @@
         return response
 
 
-def _outcome(given_up: GivenUp) -> str:
+def _outcome(given_up: ForwardingFailure) -> str:
     if given_up.timed_out:
         return "timed_out"
     return "refused" if given_up.not_run else "failed"
--- a/src/caperridge/gateway/fields.py
+++ b/src/caperridge/gateway/fields.py
@@ -8,7 +8,7 @@
 from caperridge.findings import WHOLE, Finding
 from caperridge.gateway.dialect import DecodeError
 
-MOST_PORT = 65535
+MAX_PORT = 65535
 
 
 class Fields:
@@ -49,7 +49,7 @@
         self._wrong(name, "must be a text")
         return ""
 
-    def word(self, name: str, words: tuple[str, ...]) -> str:
+    def choice(self, name: str, words: tuple[str, ...]) -> str:
         """Return one of ``words``."""
         value = self._by_name.get(name)
         if isinstance(value, str) and value in words:
@@ -57,7 +57,7 @@
         self._wrong(name, f"must be one of {', '.join(words)}")
         return words[0]
 
-    def whole(self, name: str, least: int, most: int) -> int:
+    def integer(self, name: str, least: int, most: int) -> int:
         """Return a whole number from ``least`` to ``most``."""
         value = self._by_name.get(name)
         if type(value) is int and least <= value <= most:
@@ -102,7 +102,7 @@
     [True, False, False, False]
     """
     host, _, port = value.rpartition(":")
-    if not (port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MOST_PORT):
+    if not (port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MAX_PORT):
         return False
     try:
         ipaddress.IPv4Address(host)
--- a/src/caperridge/gateway/forwarding.py
+++ b/src/caperridge/gateway/forwarding.py
@@ -19,12 +19,17 @@
 from caperridge.decisions.suspects import QUARANTINE_THRESHOLD
 from caperridge.gateway.answer_limits import AnswerLimits
 from caperridge.gateway.answer_relay import FIRST_EVENT_SILENCE_S, AnswerRelay
-from caperridge.gateway.dialect import Dialect, passed_on
+from caperridge.gateway.dialect import Dialect, end_to_end_headers
 from caperridge.gateway.fingerprint import Fingerprint, fingerprint_of
 from caperridge.gateway.fleet import Fleet
-from caperridge.gateway.inbound import Carriage, GivenUp, InboundRequest, Reply
+from caperridge.gateway.inbound import (
+    ForwardingFailure,
+    ForwardingState,
+    InboundRequest,
+    Reply,
+)
 from caperridge.gateway.metrics import GatewayMetrics
-from caperridge.gateway.placement import place_online, place_online_near
+from caperridge.gateway.placement import place_online, place_online_zone_first
 from caperridge.gateway.request_guard import RequestGuard
 from caperridge.gateway.targets import Target
 from caperridge.gateway.upstream import Outbound, TargetClient
@@ -72,31 +77,35 @@
         self._metrics = metrics
         self._limits = limits
         self._answers = AnswerRelay(metrics)
-        self.placed: Callable[[str], None] = lambda target: None
+        self.on_placed: Callable[[str], None] = lambda target: None
         names = dialect.headers
         self._own_headers = frozenset(
             {names.deadline.lower(), names.incarnation.lower(), names.resume.lower()}
         )
 
-    async def carry(self, request: InboundRequest, reply: Reply) -> GivenUp | None:
+    async def forward(
+        self, request: InboundRequest, reply: Reply
+    ) -> ForwardingFailure | None:
         """Answer ``request`` through ``reply``; return why if that was not possible.
 
-        After a refusal nothing of an answer has gone out unless ``reply.begun``.
+        After a refusal nothing of an answer has gone out unless ``reply.started``.
         """
-        carriage = Carriage(request.resume_after)
+        carriage = ForwardingState(request.resume_after)
         try:
             async with self._limits.within(request.deadline):
                 return await self._carry(request, reply, carriage)
         except TimeoutError:
             reason = "its time is over"
-            return GivenUp(reason, not carriage.sent_at_least_once, timed_out=True)
+            return ForwardingFailure(
+                reason, not carriage.sent_at_least_once, timed_out=True
+            )
 
     async def _carry(
-        self, request: InboundRequest, reply: Reply, carriage: Carriage
-    ) -> GivenUp | None:
+        self, request: InboundRequest, reply: Reply, carriage: ForwardingState
+    ) -> ForwardingFailure | None:
         while True:
             target = self._place(request, carriage)
-            if isinstance(target, GivenUp):
+            if isinstance(target, ForwardingFailure):
                 return target
             held_back = await self._held_back(request, carriage)
             if held_back is not None:
@@ -110,8 +119,8 @@
                 return given_up
 
     async def _held_back(
-        self, request: InboundRequest, carriage: Carriage
-    ) -> GivenUp | None:
+        self, request: InboundRequest, carriage: ForwardingState
+    ) -> ForwardingFailure | None:
         """Return why a request is kept from targets: others ended under it.
 
         Asked once for each run, for a right to try again is not used by an offer that
@@ -129,21 +138,23 @@
         if held is None:
             return None
         not_run = not carriage.sent_at_least_once
-        return GivenUp(held.reason, not_run, held.retry_after_s)
+        return ForwardingFailure(held.reason, not_run, held.retry_after_s)
 
-    def _mark(self, request: InboundRequest, carriage: Carriage) -> Fingerprint:
+    def _mark(self, request: InboundRequest, carriage: ForwardingState) -> Fingerprint:
         if carriage.mark is None:
             carriage.mark = fingerprint_of(
                 request.method,
                 request.headers.get("Host", ""),
                 request.path,
                 request.body,
-                passed_on(request.headers, frozenset()).items(),
-                self._dialect.headers_of_a_try,
+                end_to_end_headers(request.headers, frozenset()).items(),
+                self._dialect.per_attempt_headers,
             )
         return carriage.mark
 
-    def _place(self, request: InboundRequest, carriage: Carriage) -> Target | GivenUp:
+    def _place(
+        self, request: InboundRequest, carriage: ForwardingState
+    ) -> Target | ForwardingFailure:
         now = asyncio.get_running_loop().time()
         service = request.route.service_for(request.id)
         refused = frozenset(carriage.refused_by)
@@ -151,19 +162,25 @@
         targets = targets or self._fleet.usable(service, now)
         not_run = not carriage.sent_at_least_once
         if not targets:
-            return GivenUp("no target of its service", not_run, NO_TARGET_RETRY_AFTER_S)
+            return ForwardingFailure(
+                "no target of its service", not_run, NO_TARGET_RETRY_AFTER_S
+            )
         if carriage.offers >= MOST_OFFERS:
             retry_after_s = self._return_after_s(request, now)
-            return GivenUp("too many refusals", not_run, retry_after_s)
+            return ForwardingFailure("too many refusals", not_run, retry_after_s)
         online_s = self._fleet.run_lengths(service).online_s
         if not_run and self._would_be_cut(service, now):
             # Another instance can answer it whole.
-            return GivenUp("its answer would be cut by the stop", not_run, AT_ONCE_S)
+            return ForwardingFailure(
+                "its answer would be cut by the stop", not_run, AT_ONCE_S
+            )
         left_s = request.objective - now
         if carriage.last_event or not not_run:
             # It has begun, or may have: it is moved, and its caller cannot come back.
             left_s = max(left_s, request.route.objective_s)
-        place = place_online_near if self._fleet.remote_counts_stale else place_online
+        place = (
+            place_online_zone_first if self._fleet.remote_counts_stale else place_online
+        )
         target = place(
             targets,
             self._fleet.occupancy,
@@ -185,14 +202,16 @@
             objective_in_s=round(left_s, 3),
             retry_after_s=round(retry_after_s, 2),
         )
-        return GivenUp("no slot in time", not_run, retry_after_s)
+        return ForwardingFailure("no slot in time", not_run, retry_after_s)
 
     def _would_be_cut(self, service: str, now: float) -> bool:
         """Whether the end of a planned stop would cut an answer that begins now."""
         lengths = self._fleet.run_lengths(service)
-        careful = now >= self._limits.careful_from
+        careful = now >= self._limits.reject_long_from
         longest_s = lengths.longest_s if careful else 0.0
-        return not ends_in_time(lengths.online_s, longest_s, self._limits.until - now)
+        return not ends_in_time(
+            lengths.online_s, longest_s, self._limits.deadline - now
+        )
 
     def _return_after_s(self, request: InboundRequest, now: float) -> float:
         return return_after_s(request.deadline - now, self._fleet.rng.random())
@@ -201,7 +220,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: Carriage,
+        carriage: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
         """Send the request to ``target``; None if its answer has gone out whole."""
@@ -224,7 +243,7 @@
         began = asyncio.get_running_loop().time()
         self._fleet.occupancy.add(target.id, online=1)
         self._fleet.notify_changed()
-        self.placed(target.id)
+        self.on_placed(target.id)
         try:
             error = await self._attempt_unless_held(request, reply, carriage, target)
         except asyncio.CancelledError:
@@ -258,7 +277,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: Carriage,
+        carriage: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
         """Have ``target`` run the request until the request is put in quarantine."""
@@ -278,7 +297,7 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: Carriage,
+        carriage: ForwardingState,
         target: Target,
     ) -> AttemptError | None:
         """Have ``target`` run the request and pass its answer on."""
@@ -300,10 +319,10 @@
             answer.close()
 
     def _outbound(
-        self, request: InboundRequest, carriage: Carriage, target: Target
+        self, request: InboundRequest, carriage: ForwardingState, target: Target
     ) -> Outbound:
         names = self._dialect.headers
-        headers = passed_on(request.headers, self._own_headers)
+        headers = end_to_end_headers(request.headers, self._own_headers)
         left_s = request.deadline - asyncio.get_running_loop().time()
         headers[names.deadline] = str(max(1, int(left_s * 1000)))
         headers[names.incarnation] = target.name
@@ -315,7 +334,7 @@
         self,
         request: InboundRequest,
         target: Target,
-        carriage: Carriage,
+        carriage: ForwardingState,
         error: AttemptError,
     ) -> None:
         now = asyncio.get_running_loop().time()
@@ -348,16 +367,18 @@
         self,
         request: InboundRequest,
         reply: Reply,
-        carriage: Carriage,
+        carriage: ForwardingState,
         error: AttemptError,
-    ) -> GivenUp | None:
+    ) -> ForwardingFailure | None:
         """Return why the request is given up; None if it goes to another target."""
         if _certainly_not_run(error):
             return None
         if not request.route.idempotent:
-            return GivenUp(f"lost at its target: {error.reason}", not_run=False)
-        if not carriage.may_move(request.route):
-            return GivenUp(f"out of attempts: {error.reason}", not_run=False)
+            return ForwardingFailure(
+                f"lost at its target: {error.reason}", not_run=False
+            )
+        if not carriage.may_retry(request.route):
+            return ForwardingFailure(f"out of attempts: {error.reason}", not_run=False)
         return None
 
 
@@ -368,7 +389,7 @@
 
 
 def _count_unanswered(
-    carriage: Carriage, error: AttemptError, sent_before: bool
+    carriage: ForwardingState, error: AttemptError, sent_before: bool
 ) -> None:
     """Count an attempt that got no answer of its own."""
     if _certainly_not_run(error):
--- a/src/caperridge/gateway/inbound.py
+++ b/src/caperridge/gateway/inbound.py
@@ -10,7 +10,7 @@
 
 # Runs of one request that broke at their targets; a few in a row are bad luck, more
 # are the request's own doing.
-MOST_RUNS = 4
+MAX_RUNS = 4
 
 
 class InboundRequest(Record):
@@ -68,7 +68,7 @@
         self.resume_after = resume_after
 
 
-class GivenUp(Record):
+class ForwardingFailure(Record):
     """Why a request gets no answer of a target.
 
     Attributes:
@@ -98,15 +98,17 @@
 
     @property
     @abstractmethod
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether the head of an answer has gone out."""
 
     @abstractmethod
-    async def whole(self, status: int, headers: CIMultiDict[str], body: bytes) -> None:
+    async def send_whole(
+        self, status: int, headers: CIMultiDict[str], body: bytes
+    ) -> None:
         """Send a whole answer."""
 
     @abstractmethod
-    async def begin(self, status: int, headers: CIMultiDict[str]) -> None:
+    async def start(self, status: int, headers: CIMultiDict[str]) -> None:
         """Send the head of a streamed answer."""
 
     @abstractmethod
@@ -118,7 +120,7 @@
         """End it as whole."""
 
 
-class Carriage:
+class ForwardingState:
     """What has become of one request so far.
 
     Attributes:
@@ -154,7 +156,7 @@
         self.mark: Fingerprint | None = None
         self.admitted_runs = -1
 
-    def may_move(self, route: Route) -> bool:
+    def may_retry(self, route: Route) -> bool:
         """Whether another target may run it."""
-        enough = self.attempts >= route.most_attempts
-        return not enough and self.runs < MOST_RUNS
+        enough = self.attempts >= route.max_attempts
+        return not enough and self.runs < MAX_RUNS
--- a/src/caperridge/gateway/jobs/acceptance.py
+++ b/src/caperridge/gateway/jobs/acceptance.py
@@ -131,7 +131,7 @@
 
     def _fits(self, route: Route, job: JobRequest) -> bool:
         assert route.batch is not None
-        limit = route.batch.most_waiting_tokens
+        limit = route.batch.max_waiting_tokens
         if limit <= 0:
             return True
         return self._index.waiting_tokens(route.name) + job.tokens <= limit
--- a/src/caperridge/gateway/jobs/edge.py
+++ b/src/caperridge/gateway/jobs/edge.py
@@ -110,7 +110,7 @@
         self, route: Route, host: str, id: str, job: JobRequest, arrived: float
     ) -> JobAnswer:
         """Keep a job for good and begin to work on it."""
-        deadline = min(arrived + ACCEPT_S, self._limits.until)
+        deadline = min(arrived + ACCEPT_S, self._limits.deadline)
         try:
             async with self._limits.within():
                 outcome = await self._acceptance.accept(route, host, id, job, deadline)
@@ -157,7 +157,7 @@
             if found is None:
                 return NOT_SURE
             # A stop ends the wait a look earlier than the answer is due.
-            left_s = min(until, self._limits.until - LOOK_S) - loop.time()
+            left_s = min(until, self._limits.deadline - LOOK_S) - loop.time()
             if found or left_s <= 0 or not entry.open:
                 page = ResultsPage(entry.total, first, found)
                 return JobAnswer(200, page=page)
--- a/src/caperridge/gateway/jobs/item_runs.py
+++ b/src/caperridge/gateway/jobs/item_runs.py
@@ -115,7 +115,7 @@
         if one.state.mark is None:
             headers = [("Host", entry.host)]
             headers += [(name, value) for name, value in item.headers]
-            changing = self._dialect.headers_of_a_try
+            changing = self._dialect.per_attempt_headers
             one.state.mark = fingerprint_of(
                 "POST", entry.host, item.path, item.body, headers, changing
             )
@@ -255,7 +255,7 @@
             state.progress.event, state.progress.text, failures
         )
         self._start_after(state, FAILED_AGAIN_AFTER_S)
-        if status == UNPROCESSABLE or failures >= route.most_attempts:
+        if status == UNPROCESSABLE or failures >= route.max_attempts:
             job.bury(state)
 
     def _start_after(self, state: ItemState, pause_s: float) -> None:
@@ -335,7 +335,7 @@
         except BrokenAnswerError as error:
             return Lost(str(error))
         except asyncio.CancelledError:
-            state.take(answer.rest())
+            state.take(answer.buffered_events())
             raise
         return None if state.progress.event else Lost("it ended before an event")
 
--- a/src/caperridge/gateway/jobs/keeper.py
+++ b/src/caperridge/gateway/jobs/keeper.py
@@ -283,7 +283,7 @@
         route = table.batch_route(job.entry.route) if table is not None else None
         if route is None or route.batch is None or job.head.finished:
             return
-        limit = route.batch.most_waiting_tokens
+        limit = route.batch.max_waiting_tokens
         waiting = self._index.waiting_tokens(route.name)
         if limit <= 0 or waiting < limit * CROWDED_SHARE:
             return
--- a/src/caperridge/gateway/listeners.py
+++ b/src/caperridge/gateway/listeners.py
@@ -14,7 +14,7 @@
 # Callers take up connections that have rested for most of the idle limit.
 KEEPALIVE_S = 75.0
 # The library takes 8 KB a line unless told; deployments allow heads of 16 KB and more.
-HEAD_BYTES = 64 * 2**10
+MAX_HEAD_BYTES = 64 * 2**10
 
 
 class Listener:
@@ -34,8 +34,8 @@
             handler_cancellation=True,
             keepalive_timeout=KEEPALIVE_S,
             shutdown_timeout=0.1,
-            max_line_size=HEAD_BYTES,
-            max_field_size=HEAD_BYTES,
+            max_line_size=MAX_HEAD_BYTES,
+            max_field_size=MAX_HEAD_BYTES,
         )
         self._host = host
         self._port = port
@@ -54,13 +54,13 @@
         server = self._runner.server
         return len(server.connections) if server is not None else 0
 
-    async def close_door(self) -> None:
+    async def stop_accepting(self) -> None:
         """Take no more connections; requests on those that are open go on."""
         if self._door is not None:
             await self._door.close()
             self._door = None
 
-    async def end_connections(self, until: float) -> int:
+    async def drain_connections(self, until: float) -> int:
         """End each connection when no request runs on it; return how many are left.
 
         Args:
@@ -72,7 +72,7 @@
 
     async def stop(self) -> None:
         """Close everything."""
-        await self.close_door()
+        await self.stop_accepting()
         await self._runner.cleanup()
 
 
--- a/src/caperridge/gateway/placement.py
+++ b/src/caperridge/gateway/placement.py
@@ -16,7 +16,7 @@
 from caperridge.records import Record
 
 # How many requests may queue at a target whose slots are all taken by online ones.
-MostQueued = Callable[[Target], int]
+MaxQueued = Callable[[Target], int]
 # The better of two at random is nearly as good as the best, without a herd.
 FAR_CHOICES = 2
 
@@ -31,7 +31,7 @@
     occupancy: Occupancy,
     zone: str,
     chance: random.Random,
-    most_queued: MostQueued,
+    most_queued: MaxQueued,
 ) -> Target | None:
     """Return where an online request goes; None if even the queues are full.
 
@@ -50,12 +50,12 @@
     return best
 
 
-def place_online_near(
+def place_online_zone_first(
     targets: Sequence[Target],
     occupancy: Occupancy,
     zone: str,
     chance: random.Random,
-    most_queued: MostQueued,
+    most_queued: MaxQueued,
 ) -> Target | None:
     """Return where an online request goes if counts of other zones are old.
 
@@ -101,7 +101,7 @@
     occupancy: Occupancy,
     elsewhere: bool,
     tie: float,
-    most_queued: MostQueued,
+    most_queued: MaxQueued,
 ) -> Cost | None:
     """Return what speaks against ``target``; None if there is no room."""
     count = occupancy.total_at(target.id)
--- a/src/caperridge/gateway/process.py
+++ b/src/caperridge/gateway/process.py
@@ -65,19 +65,19 @@
 
 log = logger(__name__)
 
-TICK_S = 0.4
+TICK_INTERVAL_S = 0.4
 # Signs of life are most of what an idle instance of a large fleet sends and hears: 85
 # messages a second with 63 instances at 0.4 s.
-BEAT_S = 0.6
+HEARTBEAT_INTERVAL_S = 0.6
 # Nothing that is decided by the index is decided by the copy alone, so it may lag.
-INDEX_SPACING_S = 0.7
+INDEX_READ_INTERVAL_S = 0.7
 # Peers tell of held requests at once; the store does for whoever hears no peer, and so
 # well within the seconds after which an instance has to know.
-HELD_SPACING_S = 0.5
-PROBE_S = 0.5
+QUARANTINE_READ_INTERVAL_S = 0.5
+PROBE_INTERVAL_S = 0.5
 # Well above what timers are late on a busy machine, and well below the silence after
 # which peers lose this instance.
-STANDSTILL_S = 0.3
+MIN_STALL_S = 0.3
 
 
 class GatewayInstance:
@@ -200,8 +200,8 @@
         return [
             watcher(configuration, self._rows.configuration, 0.0),
             watcher(targets, self._rows.targets, 0.0),
-            watcher(self.index.copy, self._rows.index, INDEX_SPACING_S),
-            watcher(held, self._held_requests, HELD_SPACING_S),
+            watcher(self.index.copy, self._rows.index, INDEX_READ_INTERVAL_S),
+            watcher(held, self._held_requests, QUARANTINE_READ_INTERVAL_S),
         ]
 
     def _held_requests(self, rows: list[StoredRow], source: str) -> None:
@@ -212,11 +212,11 @@
         self._rows.taken = self.news.table_changed
         self._rows.gone = self._target_ends.target_removed
         self._rows.over = self._target_ends.target_restarted
-        self.edge.hear_peers = self.mesh.hear_now
+        self.edge.read_peers = self.mesh.hear_now
         self.fleet.silent_zones = lambda now: silent_zones(self.mesh, now)
         self.news.item_started = self.granting.used
         self.news.count_told = self._count_told
-        self._forwarder.placed = self.keeper.check_slots
+        self._forwarder.on_placed = self.keeper.check_slots
         self.reach.on_return(self.fleet.targets.store_returned)
         self.fleet.on_change(self.keeper.fleet_changed)
         self.fleet.on_change(self.news.counts_changed)
@@ -332,7 +332,7 @@
             now = elapsed_s()
             if not self._stood_still(watch.look(now - due)):
                 self.mesh.check()
-            due = now + TICK_S
+            due = now + TICK_INTERVAL_S
             self.fleet.remote_counts_stale = self.mesh.large
             self.recalls.forget_old(now)
             gone = self.fleet.targets.expire(now)
@@ -340,7 +340,7 @@
                 log.info("targets gone after an outage", targets=gone)
                 self.fleet.notify_changed()
             self.metrics.peers_alive.set(len(self.mesh.alive()))
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _stood_still(self, standstill: Standstill) -> bool:
         """Whether this process did nothing for a while, and say so.
@@ -348,7 +348,7 @@
         What peers said meanwhile is in its sockets. Were their silence looked at before
         that is read, all of them would be taken for lost, with all their counts.
         """
-        if standstill.stood_s < STANDSTILL_S:
+        if standstill.stood_s < MIN_STALL_S:
             return False
         self.metrics.standstill.observe(standstill.stood_s)
         self.mesh.hear_now()
@@ -365,16 +365,16 @@
     async def _beat(self) -> None:
         while True:
             self.news.beat()
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _probe(self) -> None:
         """Find out when targets that could not be reached can be again."""
         while True:
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             for id, address in list(self.fleet.unreachable.items()):
                 if id not in self.fleet.targets.by_id:
                     self.fleet.unreachable.pop(id, None)
-                elif await self.client.reaches(address):
+                elif await self.client.is_reachable(address):
                     self.fleet.mark_reachable(id)
 
 
--- a/src/caperridge/gateway/reply.py
+++ b/src/caperridge/gateway/reply.py
@@ -30,20 +30,22 @@
         return round(self._begun_at - since, 4)
 
     @property
-    def begun(self) -> bool:
-        """See :attr:`Reply.begun`."""
+    def started(self) -> bool:
+        """See :attr:`Reply.started`."""
         return self.response is not None
 
-    async def whole(self, status: int, headers: CIMultiDict[str], body: bytes) -> None:
-        """See :meth:`Reply.whole`."""
+    async def send_whole(
+        self, status: int, headers: CIMultiDict[str], body: bytes
+    ) -> None:
+        """See :meth:`Reply.send_whole`."""
         response = web.Response(status=status, body=body, headers=headers)
         self._mark(response)
         self.response = response
         await response.prepare(self._request)
         await response.write_eof()
 
-    async def begin(self, status: int, headers: CIMultiDict[str]) -> None:
-        """See :meth:`Reply.begin`."""
+    async def start(self, status: int, headers: CIMultiDict[str]) -> None:
+        """See :meth:`Reply.start`."""
         response = web.StreamResponse(status=status, headers=headers)
         self._mark(response)
         self.response = response
--- a/src/caperridge/gateway/routes.py
+++ b/src/caperridge/gateway/routes.py
@@ -28,17 +28,17 @@
 
     Attributes:
         due_s: from a job's first send until all results are due.
-        most_waiting_tokens: of unfinished items on the route; 0 for no limit.
+        max_waiting_tokens: of unfinished items on the route; 0 for no limit.
         retention_s: from the first send until an item may be given up.
     """
 
-    __slots__ = ("due_s", "most_waiting_tokens", "retention_s")
+    __slots__ = ("due_s", "max_waiting_tokens", "retention_s")
 
     def __init__(
-        self, due_s: float, most_waiting_tokens: int, retention_s: float
+        self, due_s: float, max_waiting_tokens: int, retention_s: float
     ) -> None:
         self.due_s = due_s
-        self.most_waiting_tokens = most_waiting_tokens
+        self.max_waiting_tokens = max_waiting_tokens
         self.retention_s = retention_s
 
 
@@ -54,7 +54,7 @@
         timeout_s: longest that a request may be held.
         objective_s: time to the answer, or its first event, that callers expect.
         rank: 0 is the most urgent.
-        most_attempts: greatest number of targets that one request may be sent to.
+        max_attempts: greatest number of targets that one request may be sent to.
         resumable: a stream may be continued at another target.
         event_gap_s: longest pause between events that callers expect; 0 if unknown.
         batch: terms of jobs; None unless ``kind`` is ``BATCH``.
@@ -65,7 +65,7 @@
         "event_gap_s",
         "host",
         "kind",
-        "most_attempts",
+        "max_attempts",
         "name",
         "objective_s",
         "path_prefix",
@@ -85,7 +85,7 @@
         timeout_s: float,
         objective_s: float = 0.0,
         rank: int = 0,
-        most_attempts: int = 1,
+        max_attempts: int = 1,
         resumable: bool = False,
         event_gap_s: float = 0.0,
         batch: BatchTerms | None = None,
@@ -98,7 +98,7 @@
         self.timeout_s = timeout_s
         self.objective_s = objective_s
         self.rank = rank
-        self.most_attempts = most_attempts
+        self.max_attempts = max_attempts
         self.resumable = resumable
         self.event_gap_s = event_gap_s
         self.batch = batch
--- a/src/caperridge/gateway/stopping.py
+++ b/src/caperridge/gateway/stopping.py
@@ -95,12 +95,12 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         times = stop_times(began, grace_s)
-        self._edge.leave(times.answers_until, times.callers_moved)
+        self._edge.start_draining(times.answers_until, times.callers_moved)
         handing_over = loop.create_task(self._hand_over_until(times.end))
-        await self._edge.quiet(began + LEAVING_S, times.door_closes)
+        await self._edge.wait_until_quiet(began + LEAVING_S, times.door_closes)
         self._log_door(times.door_closes)
-        await self._door.close_door()
-        connections = await self._door.end_connections(times.end)
+        await self._door.stop_accepting()
+        connections = await self._door.drain_connections(times.end)
         await handing_over
         cut = self._edge.running
         self._edge.log_cut()
--- a/src/caperridge/gateway/table_rows.py
+++ b/src/caperridge/gateway/table_rows.py
@@ -115,7 +115,7 @@
         over = targets.put(target)
         if over is None:
             return
-        ended = self._client.end_runs(over.id)
+        ended = self._client.abort_runs(over.id)
         self.over(over)
         log.info(
             "target started again", target=target.id, before=over.id, runs_ended=ended
--- a/src/caperridge/gateway/upstream.py
+++ b/src/caperridge/gateway/upstream.py
@@ -117,7 +117,7 @@
         self.status = response.status
         self.headers: CIMultiDict[str] = CIMultiDict(response.headers)
 
-    async def pieces(
+    async def chunks(
         self,
         first_s: float = math.inf,
         next_s: float = math.inf,
@@ -167,7 +167,7 @@
             BrokenAnswerError: the body is not whole, or ends within an event.
             SilentAnswerError: nothing came for too long.
         """
-        async for piece in self.pieces(first_s, next_s, gather_s):
+        async for piece in self.chunks(first_s, next_s, gather_s):
             yield self._splitter.feed(piece)
         if self._splitter.rest:
             raise BrokenAnswerError("it ended within an event")
@@ -178,7 +178,7 @@
             async with asyncio.timeout(gather_s):
                 await self._response.content.wait_eof()
 
-    def rest(self) -> list[Event]:
+    def buffered_events(self) -> list[Event]:
         """Return whole events that have come, once nobody reads :meth:`events`."""
         content = self._response.content
         if content.exception() is not None:
@@ -223,7 +223,7 @@
         self._watch = SilenceWatch()
         self._runs = OpenRuns()
 
-    def end_runs(self, target: str) -> int:
+    def abort_runs(self, target: str) -> int:
         """End what waits for a target whose life is over; return how much that was."""
         return self._runs.end_all(target)
 
@@ -307,7 +307,7 @@
         replaced = self._dialect.from_another_target(status)
         return TargetRefused(status, "it gives no answer", replaced=replaced)
 
-    async def reaches(self, address: str, within_s: float = CONNECT_S) -> bool:
+    async def is_reachable(self, address: str, within_s: float = CONNECT_S) -> bool:
         """Return whether something accepts connections at ``address``."""
         try:
             async with asyncio.timeout(within_s):
--- a/src/caperridge/gateway/waiting_runs.py
+++ b/src/caperridge/gateway/waiting_runs.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator
 
 from caperridge.gateway.fingerprint import Fingerprint
-from caperridge.gateway.inbound import Carriage
+from caperridge.gateway.inbound import ForwardingState
 from caperridge.gateway.request_guard import RequestGuard
 from caperridge.log import logger
 from caperridge.records import Record
@@ -34,7 +34,7 @@
         self,
         request: str,
         mark: Fingerprint,
-        carriage: Carriage,
+        carriage: ForwardingState,
         limit: asyncio.Timeout,
     ) -> None:
         self.request = request
@@ -58,7 +58,7 @@
 
     @contextlib.asynccontextmanager
     async def within(
-        self, request: str, mark: Fingerprint, carriage: Carriage
+        self, request: str, mark: Fingerprint, carriage: ForwardingState
     ) -> AsyncIterator[asyncio.Timeout]:
         """End the block with :class:`TimeoutError` if the run is withdrawn.
 
--- a/src/caperridge/platform/dialect.py
+++ b/src/caperridge/platform/dialect.py
@@ -59,7 +59,7 @@
         resume="Last-Event-Id",
         wait="X-Wait-Ms",
     )
-    headers_of_a_try = frozenset(
+    per_attempt_headers = frozenset(
         {"x-request-id", "x-deadline-ms", "last-event-id", "x-length-hint"}
     )
     paths = JobsPaths(
@@ -101,26 +101,26 @@
             service=fields.text("service"),
             address=fields.address("address"),
             availability_zone=fields.text("zone"),
-            slots=fields.whole("slots", 1, MOST_SLOTS),
-            draining=fields.word("state", (_READY, _DRAINING)) == _DRAINING,
+            slots=fields.integer("slots", 1, MOST_SLOTS),
+            draining=fields.choice("state", (_READY, _DRAINING)) == _DRAINING,
         )
         # Not used here, but an entry without them was not written by a target.
         fields.text("version")
         fields.number("coldLeftMs")
-        fields.whole("seq", 0, MOST_WHOLE)
+        fields.integer("seq", 0, MOST_WHOLE)
         born = self._born(fields)
         fields.check()
         return target.replace(id=incarnation_id(name, born)) if born else target
 
     def _born(self, fields: Fields) -> int:
         """Return when a target started, in ms; 0 if it does not say."""
-        return fields.whole("born", 1, MOST_WHOLE) if "born" in fields else 0
+        return fields.integer("born", 1, MOST_WHOLE) if "born" in fields else 0
 
     def load(self, body: bytes) -> TargetLoad:
         """See :meth:`Dialect.load`."""
         fields = Fields(self.load_path, body)
-        running = fields.whole("activeRequests", 0, MOST_WHOLE)
-        waiting = fields.whole("queueDepth", 0, MOST_WHOLE)
+        running = fields.integer("activeRequests", 0, MOST_WHOLE)
+        waiting = fields.integer("queueDepth", 0, MOST_WHOLE)
         born = self._born(fields)
         fields.check()
         return TargetLoad(running, waiting, born)
@@ -165,7 +165,7 @@
     if kind == BATCH:
         batch = BatchTerms(
             due_s=fields["runTargetMs"] / 1000,
-            most_waiting_tokens=int(fields.get("maxQueuedTokens", 0)),
+            max_waiting_tokens=int(fields.get("maxQueuedTokens", 0)),
             retention_s=float(fields["retentionS"]),
         )
     return Route(
@@ -177,7 +177,7 @@
         timeout_s=fields["timeoutMs"] / 1000,
         objective_s=fields.get("targetLatencyMs", 0) / 1000,
         rank=int(fields.get("priority", 0)),
-        most_attempts=int(fields.get("maxAttempts", 1)),
+        max_attempts=int(fields.get("maxAttempts", 1)),
         resumable=bool(fields.get("resumable")),
         event_gap_s=fields.get("gapTargetMs", 0) / 1000,
         batch=batch,
